--- a/crates/thornbridge-core/src/gateway/action.rs
+++ b/crates/thornbridge-core/src/gateway/action.rs
@@ -1,4 +1,4 @@
-//! What a gateway wants done.
+//! Actions that a gateway requests of its driver.
 
 use super::event::ViewKind;
 use super::notes::{GatewayChange, RequestNote};
@@ -14,50 +14,50 @@
 use thornbridge_proto::peer::view::StoreRevision;
 use thornbridge_proto::{AttemptId, BackEndId};
 
-/// A read of the store.
+/// Read of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceRead {
-    /// A page of all objects.
+    /// One page of all objects.
     List {
-        /// Begin after this name.
+        /// Name after which the page begins.
         after: Option<String>,
     },
-    /// Changes after a revision, or none after `wait`.
+    /// Changes after a revision; empty if none occurs within `wait`.
     Watch {
-        /// Revision that is known.
+        /// Revision of the current view.
         from: StoreRevision,
-        /// Longest wait.
+        /// Maximum time to wait for a change.
         wait: Duration,
     },
 }
 
-/// Why a request is refused or fails.
+/// Why a request was refused or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No configuration is known yet.
+    /// No configuration has been loaded yet.
     NoConfiguration,
-    /// The configuration has no such route.
+    /// No route matches the request.
     NoRoute,
-    /// The caller gave no identity for its request.
+    /// The request has no identity.
     NoIdentity,
-    /// No server of the service is known or takes requests.
+    /// No server of the service is available.
     NoServer,
-    /// The servers refused it.
+    /// All servers that were tried rejected the request.
     ServersBusy,
-    /// This node has too much to do.
+    /// This node has too many requests in flight.
     Overloaded,
-    /// Servers failed, and no attempt is left.
+    /// Attempts failed and none is left.
     ServersFailed,
-    /// Too few shards answered, and no attempt is left.
+    /// Too few shards answered and no attempt is left.
     TooFewShards,
-    /// No answer within the time.
+    /// The request timed out.
     TimedOut,
-    /// Servers crash when they run it.
+    /// The request is quarantined because servers crash when they run it.
     CrashesServers,
 }
 
 impl RefusalReason {
-    /// Name for logs, metrics and the body of the answer.
+    /// Label for logs, metrics and the response body.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -74,25 +74,25 @@
     }
 }
 
-/// What a refusal promises.
+/// Whether a refused request may have run, or what is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalPromise {
-    /// The request did not run and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// It came too late to be answered, and may have run.
+    /// The request timed out and may have run.
     TimedOut,
-    /// The request is wrong.
+    /// The request is invalid.
     BadRequest,
-    /// There is no such route.
+    /// No route matches the request.
     NotFound,
 }
 
-/// The answer to a caller.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayAnswer {
-    /// A server's answer, unchanged.
+    /// Reply of a server, forwarded unchanged.
     Forwarded {
         /// Status code.
         status: u16,
@@ -101,112 +101,112 @@
         /// Body.
         body: Bytes,
     },
-    /// The merged records of the shards that answered.
+    /// Merged records of the shards that answered.
     Gathered {
-        /// Signatures of the parts.
+        /// Server signatures of the shards' replies.
         signatures: Vec<Bytes>,
-        /// Shards that are left out.
+        /// Number of shards without a reply.
         missing: usize,
-        /// Records, the greatest first.
+        /// Records in descending order.
         records: Bytes,
     },
-    /// No answer.
+    /// Refusal or failure.
     Refused {
-        /// Why.
+        /// Reason.
         reason: RefusalReason,
-        /// What that promises.
+        /// Whether the request may have run.
         promise: RefusalPromise,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Option<Duration>,
     },
 }
 
-/// Something that a driver carries out.
+/// Operation that the driver carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayAction {
-    /// Open a connection; `ConnectionOpened` or `ConnectionLost` follows.
+    /// Open a connection; answered by `ConnectionOpened` or `ConnectionLost`.
     Open {
-        /// Handle.
+        /// Connection handle.
         connection: ConnectionId,
-        /// Where to.
+        /// Server address.
         address: SocketAddr,
     },
-    /// Close a connection; nothing follows, and an attempt on it has no end.
+    /// Close a connection. No event follows, neither for the connection nor for an attempt on it.
     Close {
-        /// Handle.
+        /// Connection handle.
         connection: ConnectionId,
     },
-    /// Send a caller's request on an open, resting connection; `Replied` or `Failed` follows.
+    /// Send a caller's request on an idle connection; answered by `Replied` or `Failed`.
     Send {
-        /// Connection.
+        /// Connection handle.
         connection: ConnectionId,
         /// Attempt.
         attempt: AttemptId,
-        /// Caller whose request it is.
+        /// Caller whose request is sent.
         caller: CallerId,
-        /// Instance that is expected there.
+        /// Instance expected at the address.
         instance: BackEndId,
-        /// Time that is left.
+        /// Remaining time that the caller waits.
         patience: Duration,
     },
-    /// Answer a caller, which then is forgotten.
+    /// Answer a caller and drop its request.
     Answer {
-        /// Caller.
+        /// Caller handle.
         caller: CallerId,
         /// Answer.
         answer: GatewayAnswer,
     },
-    /// Read the store; `SourceReplied` follows.
+    /// Read the store; answered by `SourceReplied`.
     Read {
-        /// View.
+        /// View to read.
         kind: ViewKind,
-        /// Number of the read.
+        /// Sequence number of the read.
         read: u64,
-        /// What to read.
+        /// Kind of read.
         what: SourceRead,
-        /// Time after which it has failed.
+        /// Time after which the read fails.
         timeout: Duration,
     },
-    /// Send a caller's request to the owner of a slice, with what it is asked to do.
+    /// Send a slice task with the caller's request to a slice owner.
     AskOwner {
-        /// Owner.
+        /// Slice owner.
         to: SocketAddr,
-        /// Caller whose request it is.
+        /// Caller whose request is relayed.
         caller: CallerId,
-        /// What to do.
+        /// Slice task.
         task: Box<SliceTask>,
     },
-    /// Keep a request that another node relayed; attempts for it follow.
+    /// Store a request relayed by a peer, for use by later attempts.
     Adopt {
-        /// Handle.
+        /// Handle assigned to the request.
         caller: CallerId,
-        /// The request, as it came.
+        /// Encoded request, as received.
         relayed: SharedBytes,
     },
-    /// A relayed request is over.
+    /// Drop a relayed request.
     Release {
-        /// Handle.
+        /// Handle of the request.
         caller: CallerId,
     },
-    /// Send to a peer, best effort.
+    /// Send a message to a peer; delivery is not guaranteed.
     SendPeer {
-        /// Peer.
+        /// Peer address.
         to: SocketAddr,
         /// Message.
         message: PeerMessage,
     },
-    /// Readiness changed.
+    /// Report readiness.
     SetReady {
-        /// Whether callers are wanted.
+        /// Whether this node accepts requests.
         ready: bool,
     },
-    /// Limits towards callers changed.
+    /// Apply limits on caller connections and requests.
     SetLimits {
         /// Limits.
         limits: CallerLimits,
     },
-    /// A request ended.
+    /// Log and count a finished request.
     Finished(RequestNote),
-    /// A belief or state changed.
+    /// Log and count a state change.
     Changed(GatewayChange),
 }
--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway.
+//! Input events of a gateway.
 
 use super::parameters::GatewayParameters;
 use crate::driver_action::{CallerId, ConnectionId};
@@ -14,90 +14,90 @@
 use thornbridge_proto::peer::{PeerEndpoint, PeerMessage};
 use thornbridge_proto::{BackEndId, ZoneName};
 
-/// The part of a caller's request that decisions need. The driver keeps the rest.
+/// Head of a caller's request. The driver keeps headers and body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Identity that the caller gave this request; passed on unchanged.
+    /// Request identity set by the caller; forwarded unchanged.
     pub id: Option<String>,
-    /// What stays the same when the caller sends the request again.
+    /// Hash of the request that is the same when the caller retries it.
     pub fingerprint: Fingerprint,
-    /// Host, in lower case and without a port.
+    /// Host in lower case, without port.
     pub host: String,
-    /// Path without the query.
+    /// Path without the query string.
     pub path: String,
-    /// Time that the caller waits, where it said so.
+    /// Remaining time that the caller waits, if stated.
     pub patience: Option<Duration>,
-    /// Whether it is the first request of its connection: the caller spent a round trip more.
+    /// Whether this is the first request of its connection; opening one costs the caller a round trip.
     pub first_on_connection: bool,
 }
 
-/// What a server said of its load.
+/// Load reported by a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests queued.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// What an answer is, by the headers that the driver was told to look for.
+/// Classification of a reply by its headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyVerdict {
-    /// A server's answer to this request, whole.
+    /// Complete reply of the server to this request.
     Answer,
-    /// The server says that it did not run the request.
+    /// The server reports that it did not run the request.
     NotRun,
-    /// The address belongs to another instance now; the request was not run.
+    /// Another instance has taken over the address; the request did not run.
     WrongInstance,
-    /// Not a server's answer to this request: another request's, altered, or not signed.
+    /// Reply to a different request, altered or unsigned.
     Spoilt,
 }
 
-/// A whole answer of a server.
+/// Complete reply of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerReply {
     /// Status code.
     pub status: u16,
-    /// Headers, without those that concern one connection only.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Signature of the server, where there is one.
+    /// Signature of the server, if any.
     pub signature: Option<Bytes>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// What the answer is.
+    /// Classification.
     pub verdict: ReplyVerdict,
-    /// Load, where the server told it.
+    /// Load, if the server reported it.
     pub load: Option<ServerLoad>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be reused.
     pub reusable: bool,
-    /// Time that the server keeps the connection while it rests, where it said so.
+    /// Idle timeout of the connection, if the server stated one.
     pub keep_alive: Option<Duration>,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt ended without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFailure {
-    /// Nothing of it left: it certainly did not run.
+    /// Nothing was sent; the request did not run.
     NotSent,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
-/// Objects of the store that a gateway reads.
+/// Kind of view read from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ViewKind {
-    /// The route configuration.
+    /// Route configuration.
     Configuration,
-    /// The registry of instances.
+    /// Registry of instances.
     Registry,
-    /// Zones whose servers are to get nothing.
+    /// Zones whose servers receive no requests.
     Evacuations,
 }
 
 impl ViewKind {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -107,32 +107,32 @@
     }
 }
 
-/// One object that came from the store.
+/// Object read from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewObject {
-    /// The route configuration.
+    /// Route configuration.
     Configuration(RouteConfiguration),
-    /// An instance.
+    /// Instance that was added or changed.
     Instance(StoreRevision, Instance),
-    /// An instance that is gone.
+    /// Instance that was removed.
     Departed(StoreRevision, BackEndId),
-    /// An order to send nothing to the servers of a zone.
+    /// Zone whose servers must receive no requests.
     Evacuated(ZoneName),
-    /// Such an order was taken back.
+    /// Zone whose evacuation ended.
     EvacuationOver(ZoneName),
-    /// An object that cannot be used; what is wrong with it.
+    /// Object that cannot be used.
     Unusable {
-        /// Its name; empty where not even that can be read.
+        /// Object name; empty if unreadable.
         name: String,
-        /// Revision of its last change; 0 where it cannot be read.
+        /// Revision of the last change; 0 if unreadable.
         revision: StoreRevision,
-        /// Why.
+        /// What is wrong with the object.
         reason: String,
     },
 }
 
 impl ViewObject {
-    /// The same object, with its revision in this era.
+    /// Returns the object with its revision assigned to `era`.
     fn in_era(self, era: u64) -> Self {
         match self {
             Self::Instance(revision, instance) => Self::Instance(revision.in_era(era), instance),
@@ -151,23 +151,23 @@
     }
 }
 
-/// Why the store did not answer a read.
+/// Why a read of the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceFailure {
-    /// The history that was asked for is gone: read everything again.
+    /// The requested revision has been compacted; a full list is required.
     HistoryGone,
-    /// Refused for now: too many calls, or the store is not able.
+    /// The store refused the call: rate limit exceeded or unavailable.
     Refused,
-    /// No answer in time, or the connection broke.
+    /// The read timed out or the connection broke.
     Unreachable,
-    /// An answer that cannot be understood.
+    /// The reply could not be parsed.
     Malformed,
-    /// The answer is of an era of the store that is over.
+    /// The reply belongs to an earlier store era.
     EndedEra,
 }
 
 impl SourceFailure {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::HistoryGone => "history_gone",
@@ -179,29 +179,29 @@
     }
 }
 
-/// What the store answered.
+/// Successful reply of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceReply {
-    /// A page of a list.
+    /// One page of a list.
     Page {
-        /// Objects.
+        /// Objects of the page.
         objects: Vec<ViewObject>,
-        /// Name after which the next page begins; `None` for the last one.
+        /// Name after which the next page begins; `None` on the last page.
         next: Option<String>,
-        /// Revision of the store.
+        /// Store revision of the list.
         at: StoreRevision,
     },
-    /// Changes after the revision that was asked for.
+    /// Changes since the requested revision.
     Changes {
-        /// Objects, in order.
+        /// Changed objects, in revision order.
         objects: Vec<ViewObject>,
-        /// Continue from here.
+        /// Revision from which to continue.
         at: StoreRevision,
     },
 }
 
 impl SourceReply {
-    /// The same reply, with its revisions in this era.
+    /// Returns the reply with its revisions assigned to `era`.
     pub fn in_era(self, era: u64) -> Self {
         let stamp = |objects: Vec<ViewObject>| {
             let objects = objects.into_iter();
@@ -221,99 +221,99 @@
     }
 }
 
-/// Something that happened.
+/// Input of [`Gateway::handle`](super::Gateway::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayEvent {
-    /// Answers waited this long after they were decided, before they were written.
+    /// Measured delay between deciding on an answer and writing it.
     AnswerDelayed {
-        /// The time.
+        /// Delay.
         by: Duration,
     },
-    /// First event.
+    /// The gateway starts; must be the first event.
     Started,
-    /// A caller's whole request came.
+    /// A caller's request was received completely.
     Request {
-        /// Handle.
+        /// Caller handle.
         caller: CallerId,
-        /// What is decided by.
+        /// Head of the request.
         head: RequestHead,
     },
-    /// The caller went away without waiting for its answer.
+    /// The caller disconnected before it received an answer.
     CallerGone {
-        /// Handle.
+        /// Caller handle.
         caller: CallerId,
     },
-    /// A connection is open.
+    /// A connection was opened.
     ConnectionOpened {
-        /// Handle.
+        /// Connection handle.
         connection: ConnectionId,
-        /// Time that opening took.
+        /// Time taken to connect.
         took: Duration,
     },
-    /// A connection could not be opened, or ended while it carried no attempt.
+    /// A connection could not be opened, or closed while idle.
     ConnectionLost {
-        /// Handle.
+        /// Connection handle.
         connection: ConnectionId,
     },
-    /// A server answered.
+    /// A server replied to an attempt.
     Replied {
         /// Attempt.
         attempt: AttemptId,
-        /// Answer.
+        /// Reply.
         reply: Box<ServerReply>,
     },
-    /// An attempt ended without an answer; its connection is gone.
+    /// An attempt failed and its connection is closed.
     Failed {
         /// Attempt.
         attempt: AttemptId,
-        /// How.
+        /// Failure.
         failure: ExchangeFailure,
     },
-    /// The store answered a read.
+    /// A read of the store completed or failed.
     SourceReplied {
-        /// Which view the read was for.
+        /// View that was read.
         kind: ViewKind,
-        /// Number of the read.
+        /// Sequence number of the read.
         read: u64,
-        /// Answer.
+        /// Outcome of the read.
         result: Result<SourceReply, SourceFailure>,
     },
-    /// A peer sent a message.
+    /// A message arrived from a peer.
     PeerMessage {
         /// Sender.
         from: PeerEndpoint,
         /// Message.
         message: PeerMessage,
     },
-    /// The request of a task could not be relayed: nothing left this node.
+    /// A slice task could not be sent; nothing left this node.
     TaskNotSent {
-        /// Owner that was to be asked.
+        /// Slice owner that the task was addressed to.
         owner: SocketAddr,
         /// Slice.
         slice: SliceId,
     },
-    /// A request that a node relayed cannot be used.
+    /// A request relayed by a peer could not be decoded.
     RelayUnusable {
-        /// Handle under which it was to be kept.
+        /// Handle assigned to the relayed request.
         caller: CallerId,
     },
-    /// A link to a peer broke.
+    /// The link to a peer broke.
     PeerLinkDown {
-        /// Peer.
+        /// Peer address.
         address: SocketAddr,
     },
-    /// A timer is due.
+    /// The time returned by [`Gateway::next_timeout`](super::Gateway::next_timeout) was reached.
     TimerDue,
-    /// A planned stop begins.
+    /// A graceful shutdown was requested.
     StopAsked,
     /// The operator changed the settings.
     Reconfigured {
-        /// Tunable values from now on. Those of membership stay as they were.
+        /// New parameters; membership parameters are ignored.
         parameters: Box<GatewayParameters>,
     },
-    /// The process did not run for a while.
+    /// The process was suspended.
     Paused {
-        /// How long.
+        /// Length of the suspension.
         by: Duration,
     },
 }
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -1,4 +1,4 @@
-//! Events of a gateway, handed to its parts.
+//! Event dispatch, timers and readiness of a gateway.
 
 use super::Gateway;
 use super::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
@@ -18,15 +18,15 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceMessage;
 
-/// Time between looks at servers without a connection.
-const WARMING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after a pause of the process in which messages may be older than they say.
+/// Interval of housekeeping: registry expiry, slice assignment, connection warm-up.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// How long after a process pause received messages count as stale.
 const STALE_AFTER_PAUSE: Duration = Duration::from_millis(100);
-/// Time after a start at which a node is ready though some shards have no connection.
-const READY_ANYWAY: Duration = Duration::from_millis(1_500);
+/// Time after start at which a node becomes ready even if some shards have no connection.
+const WARM_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Gateway {
-    /// Takes one event. `now` must not go back.
+    /// Processes one event. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Timestamp, event: GatewayEvent) {
         self.now = now;
         match event {
@@ -72,7 +72,7 @@
                 self.with_membership(|membership, context| membership.link_down(context, address));
             }
             GatewayEvent::TimerDue => self.timer_due(),
-            GatewayEvent::StopAsked => self.stop_asked(),
+            GatewayEvent::StopAsked => self.stop_requested(),
             GatewayEvent::Reconfigured { parameters } => self.reconfigure(*parameters),
             GatewayEvent::Paused { .. } => {
                 self.stale_until = self.now + STALE_AFTER_PAUSE;
@@ -82,7 +82,7 @@
         self.settle();
     }
 
-    /// When [`GatewayEvent::TimerDue`] is wanted, at the latest.
+    /// Latest time at which the driver must send [`GatewayEvent::TimerDue`].
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let staged = self.staging.get();
         let staged = staged.map(|staged| staged.since + self.parameters.views.staging);
@@ -96,14 +96,14 @@
             self.servers.next_timeout(),
             self.exchanges.next_timeout(),
             self.quarantine.next_timeout(),
-            Some(self.next_warming),
+            Some(self.next_maintenance),
             self.awaiting.next_timeout(),
             staged,
         ];
         timeouts.into_iter().flatten().min()
     }
 
-    /// The requests under way, and everything that they need.
+    /// Splits the borrow of `self` into the in-flight requests and the state that they use.
     pub(super) fn exchanges(&mut self) -> (&mut Exchanges, Scope<'_>) {
         let scope = Scope {
             now: self.now,
@@ -133,7 +133,8 @@
     fn timer_due(&mut self) {
         self.with_membership(|membership, context| {
             membership.timer_due(context);
-            // There is no list of machines to ask for; asking moves the time of the next one on.
+            // A gateway has no machine list to request. The call reschedules the membership timer,
+            // which would otherwise stay due.
             membership.wants_machines(context);
         });
         self.read_sources();
@@ -143,14 +144,14 @@
         self.servers.timer_due(self.now, &mut self.actions);
         self.quarantine
             .timer_due(self.now, &mut self.random, &mut self.actions);
-        if self.next_warming <= self.now {
-            self.next_warming = self.now + WARMING_INTERVAL;
+        if self.next_maintenance <= self.now {
+            self.next_maintenance = self.now + MAINTENANCE_INTERVAL;
             let kept = self.parameters.views.departures_kept;
             self.registry.forget(self.now, kept);
             let released = self.registry.release_held(self.now);
             self.registry_changed(released, ViewOrigin::Own);
-            let over = self.evacuations.forget_carried(self.now);
-            self.evacuations_changed(over, ViewOrigin::Own);
+            let ended = self.evacuations.forget_carried(self.now);
+            self.evacuations_changed(ended, ViewOrigin::Own);
             self.divide();
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
@@ -163,7 +164,7 @@
         exchanges.timer_due(&mut scope);
     }
 
-    /// Opens links to the owners that this node would ask, by telling them what it knows.
+    /// Opens links to prospective slice owners by sending each a view digest.
     fn open_links(&mut self) {
         for owner in self.slices.links_to_open(self.now) {
             self.slices.spoke_to(self.now, owner);
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Divides gathers anew where what that goes by changed.
+    /// Reassigns slices if members, shards or servers changed.
     pub(super) fn divide(&mut self) {
         if !std::mem::take(&mut self.division_stale) {
             return;
@@ -187,7 +188,7 @@
         self.servers.set_ownership(&owned);
     }
 
-    /// The caller waited for a configuration in vain; it is told to come back while it can.
+    /// Refuses a request that timed out waiting for a configuration, with a time to retry.
     fn refuse_without_configuration(&mut self, request: AwaitingRequest) {
         let caller_try = self.awaiting.judge(&request);
         let AwaitingRequest {
@@ -212,7 +213,6 @@
         self.refuse(caller, &head, refusal);
     }
 
-    /// Takes new tunable values.
     fn reconfigure(&mut self, parameters: GatewayParameters) {
         self.budget.set_parameters(parameters.budget.clone());
         self.servers.parameters = parameters.servers.clone();
@@ -231,7 +231,7 @@
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
-    fn stop_asked(&mut self) {
+    fn stop_requested(&mut self) {
         if self.stopping {
             return;
         }
@@ -243,7 +243,7 @@
         self.with_membership(Membership::leave);
     }
 
-    /// Puts a configuration in force where it may be, and reports readiness.
+    /// Activates a staged configuration, routes waiting requests and updates readiness.
     fn settle(&mut self) {
         self.judge_freshness();
         if self.staged_may_start() {
@@ -254,18 +254,18 @@
                 self.route(waiting.caller, waiting.head, waiting.arrived);
             }
         }
-        let ready = self.may_serve();
+        let ready = self.is_ready_to_serve();
         if ready != self.ready {
             self.ready = ready;
             self.actions.push_back(GatewayAction::SetReady { ready });
         }
     }
 
-    fn may_serve(&self) -> bool {
+    fn is_ready_to_serve(&self) -> bool {
         if self.stopping || !self.knows_views() {
             return false;
         }
-        if self.ready || self.now.since_epoch() >= READY_ANYWAY {
+        if self.ready || self.now.since_epoch() >= WARM_UP_TIMEOUT {
             return true;
         }
         let shards = self.routes.shards();
@@ -312,16 +312,15 @@
         }
     }
 
-    /// Starts a request that arrived then, on its route.
+    /// Starts a request on its route, or refuses it if it has no identity or no route matches.
     fn route(&mut self, caller: CallerId, head: RequestHead, arrived: Timestamp) {
         if head.id.is_none() {
-            let refusal =
-                Refusal::not_to_repeat(RefusalReason::NoIdentity, RefusalPromise::BadRequest);
+            let refusal = Refusal::permanent(RefusalReason::NoIdentity, RefusalPromise::BadRequest);
             self.refuse(caller, &head, refusal);
             return;
         }
         let Some(route) = self.routes.find(&head.host, &head.path) else {
-            let refusal = Refusal::not_to_repeat(RefusalReason::NoRoute, RefusalPromise::NotFound);
+            let refusal = Refusal::permanent(RefusalReason::NoRoute, RefusalPromise::NotFound);
             self.refuse(caller, &head, refusal);
             return;
         };
@@ -358,19 +357,19 @@
     }
 }
 
-/// Why a request that took no route is refused, and what its caller is told.
+/// Refusal of a request that was not routed.
 struct Refusal {
     reason: RefusalReason,
     promise: RefusalPromise,
     retry_after: Option<Duration>,
     caller_try: CallerTry,
-    /// Time that it waited in this node.
+    /// Time that the request waited in this node.
     waited: Duration,
 }
 
 impl Refusal {
-    /// A refusal after which trying again would not help.
-    fn not_to_repeat(reason: RefusalReason, promise: RefusalPromise) -> Self {
+    /// A refusal that a retry would not change.
+    fn permanent(reason: RefusalReason, promise: RefusalPromise) -> Self {
         Self {
             reason,
             promise,
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -1,23 +1,21 @@
-//! The gateway: plain HTTP requests routed to the servers of a registry.
+//! HTTP gateway: routes plain HTTP requests to the servers listed in a registry.
 //!
-//! Beside the query and action protocols of [`crate::Node`], a cluster can serve HTTP callers
-//! whose servers come and go by themselves. [`Gateway`] holds every decision of that: which
-//! server gets a request, when another one gets it too, when a gather over many shards is
-//! complete enough, which configuration is in force, and what to believe of servers, store and
-//! peers. Like [`crate::Node`] it has no I/O: it takes a [`GatewayEvent`] with the present time
-//! and gives back [`GatewayAction`]s.
+//! [`Gateway`] is a state machine without I/O. A driver passes [`GatewayEvent`]s with the current
+//! time to [`Gateway::handle`] and carries out the [`GatewayAction`]s that it returns. The gateway
+//! decides which server receives a request, when to hedge or retry, when a gather over several
+//! shards is complete enough to answer, and which route configuration is active.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `views` | route configuration, registry and evacuated zones, from the store and from peers |
-//! | `routes` | the configuration in force, resolved |
-//! | `servers` | what is known of servers, their connections, the choice among them |
-//! | `exchange` | requests: attempts, hedges, retries, completeness, answers |
-//! | `slices` | gathers that are divided among nodes: groups of shards and their owners |
+//! | `routes` | the active configuration, resolved |
+//! | `servers` | server state, connections, load balancing |
+//! | `exchange` | requests in flight: attempts, hedges, retries, answers |
+//! | `slices` | partitioning of a gather's shards among nodes |
 //! | `quarantine` | requests that crash the servers that run them |
-//! | `awaiting` | requests that came before any configuration |
-//! | `budget` | extra attempts, shared by all nodes |
-//! | [`crate::membership`] | who shares the budgets |
+//! | `awaiting` | requests received before the first configuration |
+//! | `budget` | cluster-wide budget of extra attempts |
+//! | [`crate::membership`] | nodes that share the budgets |
 
 mod action;
 mod awaiting;
@@ -88,24 +86,24 @@
 use views::registry::Registry;
 use views::source::SourceReader;
 
-/// What a gateway is told when it is made.
+/// Arguments of [`Gateway::new`].
 #[derive(Clone, Debug)]
 pub struct GatewaySetup {
-    /// This run's identity and peer address.
+    /// Identity and peer address of this process.
     pub endpoint: PeerEndpoint,
-    /// Operator's name for it.
+    /// Name assigned by the operator.
     pub name: NodeName,
-    /// Where it stands.
+    /// Zone and region of this node.
     pub placement: Placement,
-    /// Peers to join through.
+    /// Peers contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
     /// Seed of the random generator.
     pub seed: u64,
-    /// Tunable values.
+    /// Tunable parameters.
     pub parameters: GatewayParameters,
 }
 
-/// The state machine of one gateway.
+/// State machine of one gateway node.
 #[derive(Debug)]
 pub struct Gateway {
     now: Timestamp,
@@ -131,23 +129,23 @@
     quarantine: Quarantine,
     slices: Slices,
     own_address: SocketAddr,
-    /// Whether members, shards or servers changed since gathers were divided.
+    /// Whether members, shards or servers changed since slices were last assigned.
     division_stale: bool,
-    /// Until when messages of peers may have waited for this process to go on.
+    /// Until when received messages may have been queued while this process was paused.
     stale_until: Timestamp,
     awaiting: Awaiting,
     ready: bool,
     stopping: bool,
-    next_warming: Timestamp,
+    next_maintenance: Timestamp,
     freshness: Freshness,
-    /// Whether this node reads the store itself.
+    /// Whether this node reads the store itself instead of following peers.
     reads: bool,
-    /// Whether other members are named to join through, and this node is none of them.
+    /// Whether seeds are configured and this node is not one of them.
     joins_through_others: bool,
 }
 
 impl Gateway {
-    /// A gateway that has not started: the first event must be [`GatewayEvent::Started`].
+    /// Creates a gateway; the first event must be [`GatewayEvent::Started`].
     pub fn new(setup: GatewaySetup) -> Self {
         let parameters = setup.parameters;
         let own = MemberRecord {
@@ -207,41 +205,41 @@
             parameters,
             ready: false,
             stopping: false,
-            next_warming: Timestamp::ZERO,
+            next_maintenance: Timestamp::ZERO,
         }
     }
 
-    /// The next thing to carry out; `None` when all is done.
+    /// Next action to carry out, or `None` if there is none.
     pub fn poll_action(&mut self) -> Option<GatewayAction> {
         self.actions.pop_front()
     }
 
-    /// Requests without an answer yet.
+    /// Number of requests not answered yet.
     pub fn in_flight(&self) -> usize {
         self.exchanges.in_flight() + self.awaiting.len()
     }
 
-    /// Members that share the budgets, this one included.
+    /// Number of members that share the budgets, including this node.
     pub fn members(&self) -> usize {
         self.members
     }
 
-    /// Requests under which servers crashed, as far as is remembered.
+    /// Number of requests with a crash record.
     pub fn suspects(&self) -> usize {
         self.quarantine.len()
     }
 
-    /// Entries of the registry.
+    /// Number of registry entries.
     pub fn instances(&self) -> usize {
         self.registry.len()
     }
 
-    /// Era of the store that the registry is known as of; 0 where it tells none.
+    /// Store era of the registry view; 0 if the store reports none.
     pub fn store_era(&self) -> u64 {
         self.registry.upto().unwrap_or_default().era
     }
 
-    /// Version of the configuration in force; 0 where there is none.
+    /// Version of the active configuration; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.routes.version.0
     }
--- a/crates/thornbridge-core/src/gateway/notes.rs
+++ b/crates/thornbridge-core/src/gateway/notes.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells the log and the metrics: how requests ended, and what it believes now.
+//! Telemetry of a gateway: request summaries and state changes for logs and metrics.
 
 use super::action::RefusalReason;
 use super::event::ViewKind;
@@ -10,34 +10,34 @@
 use thornbridge_proto::peer::view::StoreRevision;
 use thornbridge_proto::{BackEndId, ZoneName};
 
-/// One attempt of one server, as a log line tells it.
+/// Summary of one attempt at a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptNote {
     /// Server.
     pub server: BackEndId,
-    /// Time from the request's arrival to sending.
+    /// Time from arrival of the request until the attempt was sent.
     pub sent_after: Duration,
-    /// Why it was sent.
+    /// Why the attempt was made.
     pub cause: AttemptCause,
-    /// Its end, where it had one.
+    /// Outcome.
     pub outcome: AttemptOutcome,
-    /// Time from sending to that end.
+    /// Time from sending until the outcome; `None` if still open.
     pub took: Option<Duration>,
 }
 
 /// Why an attempt was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptCause {
-    /// The first for its shard or request.
+    /// First attempt for the request or shard.
     First,
-    /// The first was slow.
+    /// An earlier attempt was slow.
     Hedge,
-    /// An earlier one failed.
+    /// An earlier attempt failed.
     Retry,
 }
 
 impl AttemptCause {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -47,29 +47,29 @@
     }
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Never sent: it waited for a connection of the server when the request was answered.
+    /// Not sent: still queued for a connection when the request was answered.
     Waiting,
-    /// Not at all, when the request was answered.
+    /// Still in flight when the request was answered.
     Open,
-    /// With a usable answer.
+    /// The server sent a usable reply.
     Answered,
-    /// With a failure of the server's own.
+    /// The server replied with an error.
     ServerFailure,
-    /// Refused: not run.
+    /// The server rejected the request without running it.
     NotRun,
-    /// The address belongs to another instance.
+    /// Another instance has taken over the address.
     WrongInstance,
-    /// Bytes that are no answer to it.
+    /// The reply did not belong to the request or failed verification.
     Spoilt,
     /// The connection broke.
     Broken,
 }
 
 impl AttemptOutcome {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -84,25 +84,25 @@
     }
 }
 
-/// How an owner that was asked for a slice stood when the request ended.
+/// State of a slice owner when the request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SliceOutcome {
-    /// It did not report.
+    /// No report was received yet.
     Asked,
-    /// The same, for longer than it should.
+    /// No report was received within the expected time.
     Silent,
-    /// It reported, and not all of its shards were over.
+    /// A report was received, but some shards were still open.
     Reporting,
-    /// It reported how all of its shards ended.
+    /// The outcome of all shards was reported.
     Finished,
-    /// It did not serve the slice.
+    /// The owner refused the slice.
     Refused,
-    /// The link to it broke.
+    /// The link to the owner broke.
     Lost,
 }
 
 impl SliceOutcome {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Asked => "asked",
@@ -115,58 +115,58 @@
     }
 }
 
-/// One owner that was asked for a slice, as a log line tells it.
+/// Summary of one slice owner's part in a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceNote {
-    /// Owner.
+    /// Slice owner.
     pub owner: SocketAddr,
-    /// Time from the request's arrival to asking.
+    /// Time from arrival of the request until the task was sent.
     pub asked_after: Duration,
-    /// How it stood at the end.
+    /// State when the request ended.
     pub outcome: SliceOutcome,
 }
 
-/// How a request ended, for the log and the metrics.
+/// Summary of a finished request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestNote {
-    /// Identity that the caller gave.
+    /// Request identity set by the caller.
     pub id: String,
-    /// What is the same in all tries of a request.
+    /// Hash of the request that is the same when the caller retries it.
     pub fingerprint: Fingerprint,
-    /// Route; empty where none was found.
+    /// Route; empty if none matched.
     pub route: String,
-    /// Version of the configuration that decided.
+    /// Version of the configuration that was applied.
     pub version: RouteVersion,
-    /// Revision of the registry at the end.
+    /// Registry revision when the request ended.
     pub registry: StoreRevision,
-    /// Time from arrival to answer.
+    /// Time from arrival until the answer.
     pub took: Duration,
-    /// Time from arrival at which an answer was due to be worth most.
+    /// Latency objective, measured from arrival.
     pub objective: Duration,
-    /// Parts that answered.
+    /// Parts that were answered.
     pub parts: usize,
-    /// Parts that were asked.
+    /// Parts of the request: one, or one per shard of a gather.
     pub of: usize,
-    /// Outcome in a word.
+    /// Outcome label.
     pub outcome: &'static str,
-    /// Attempts beyond each part's first, and those that did not simply succeed.
+    /// Extra attempts, and first attempts that did not succeed.
     pub notable: Vec<AttemptNote>,
-    /// Attempts sent.
+    /// Number of attempts sent.
     pub attempts: usize,
-    /// Extra attempts that the budget did not allow.
+    /// Number of extra attempts denied by the budget.
     pub denied: usize,
-    /// Which try of its caller it was, as far as that could be told.
+    /// Whether the request was inferred to be a retry by its caller.
     pub caller_try: CallerTry,
-    /// When a refused caller was told to come back.
+    /// Time after which a refused caller may retry.
     pub retry_after: Option<Duration>,
-    /// The node whose caller's gather this was a slice of.
+    /// Coordinator of the gather, if the request was a slice of one.
     pub coordinator: Option<SocketAddr>,
-    /// Owners that were asked for slices.
+    /// Slice owners that received tasks.
     pub slices: Vec<SliceNote>,
 }
 
 impl RequestNote {
-    /// The note of a request that was refused before anything was done for it.
+    /// Summary of a request that was refused before any attempt was made.
     pub(super) fn unstarted(
         id: String,
         fingerprint: Fingerprint,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The same, for a caller that is told to come back.
+    /// Sets the fields that concern retries by the caller.
     pub(super) fn with_retry(mut self, caller_try: CallerTry, after: Option<Duration>) -> Self {
         self.caller_try = caller_try;
         self.retry_after = after;
@@ -204,37 +204,37 @@
     }
 }
 
-/// A change of what the gateway believes or does, for the log.
+/// State change of the gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayChange {
-    /// Servers begin or cease to refuse a good part of the connections.
+    /// Servers started or stopped refusing a significant share of connections.
     Scarcity {
-        /// Whether they do.
+        /// Whether connections are refused now.
         scarce: bool,
-        /// Connections that were refused lately.
+        /// Connections refused recently.
         refused: u64,
-        /// Connections that were opened lately, refused ones included.
+        /// Connections opened recently, including refused ones.
         opened: u64,
     },
-    /// A configuration is in force.
+    /// A configuration became active.
     ConfigurationInForce {
-        /// Version.
+        /// New version.
         version: RouteVersion,
-        /// Version before.
+        /// Previous version.
         replaced: RouteVersion,
-        /// Where it came from.
+        /// Origin of the configuration.
         origin: ViewOrigin,
-        /// Time from learning to force.
+        /// Time from receipt to activation.
         staged_for: Duration,
     },
-    /// An object of the store is kept out.
+    /// An object from the store was rejected.
     ObjectRefused {
-        /// Name.
+        /// Object name.
         name: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
-    /// An instance changed.
+    /// An instance changed its state.
     Instance {
         /// Instance.
         id: BackEndId,
@@ -244,123 +244,123 @@
         state: &'static str,
         /// Revision of the change.
         revision: StoreRevision,
-        /// Where it came from.
+        /// Origin of the change.
         origin: ViewOrigin,
     },
-    /// The servers of a zone are to get nothing, or that is over.
+    /// Evacuation of a zone started or ended.
     Evacuation {
-        /// The zone.
+        /// Zone.
         zone: ZoneName,
-        /// Whether they are to get nothing now.
+        /// Whether the zone is evacuated now.
         evacuated: bool,
-        /// Servers of the zone that this node knows.
+        /// Number of known servers in the zone.
         servers: usize,
-        /// Revision as of which the evacuated zones are known.
+        /// Revision of the evacuation view.
         revision: StoreRevision,
-        /// Where it came from.
+        /// Origin of the change.
         origin: ViewOrigin,
     },
-    /// The registry is known for the first time.
+    /// The registry was loaded for the first time.
     RegistryKnown {
-        /// Entries.
+        /// Number of registry entries.
         instances: usize,
-        /// Revision up to which it is known.
+        /// Revision of the registry view.
         revision: StoreRevision,
-        /// Where it came from.
+        /// Origin of the view.
         origin: ViewOrigin,
     },
-    /// The store began a new era: it came back from a copy, and gives revisions out again.
+    /// The store started a new era: after a restore from a backup it reuses revision numbers.
     StoreEra {
-        /// Revision up to which the registry was known before.
+        /// Registry revision before the change.
         ended: StoreRevision,
-        /// Revision up to which it is known now.
+        /// Registry revision after the change.
         begun: StoreRevision,
-        /// Entries that are new, changed or gone with it.
+        /// Number of entries added, changed or removed.
         changed: usize,
-        /// Entries.
+        /// Number of registry entries.
         instances: usize,
-        /// Where it came from.
+        /// Origin of the view.
         origin: ViewOrigin,
     },
-    /// Reading a view of the store began to fail, or works again.
+    /// Reads of a view started to fail or recovered.
     Source {
         /// View.
         kind: ViewKind,
-        /// Whether it works.
+        /// Whether reads succeed now.
         reachable: bool,
-        /// Why it does not.
+        /// Failure, if reads fail.
         failure: Option<super::event::SourceFailure>,
-        /// Age of the last answer.
+        /// Time since the last successful read.
         age: Duration,
     },
-    /// A server is avoided, or is no longer.
+    /// A server started or stopped being avoided.
     Trust {
         /// Server.
         id: BackEndId,
-        /// Whether it is avoided now.
+        /// Whether the server is avoided now.
         avoided: bool,
-        /// Why.
+        /// Cause.
         cause: &'static str,
     },
-    /// This node begins to read the store itself, or leaves that to others.
+    /// This node started or stopped reading the store itself.
     Reading {
-        /// Whether it reads.
+        /// Whether this node reads the store now.
         reads: bool,
-        /// Its place in the order of readers.
+        /// Rank in the order of readers.
         rank: usize,
-        /// Age of its views since the store last confirmed them; `None` where it never did.
+        /// Time since the store last confirmed the views; `None` if it never did.
         age: Option<Duration>,
     },
-    /// Most owners of a gather are silent: this node's gathers are not divided for a while.
+    /// Most slice owners of a gather did not respond; this node serves gathers without slices for a while.
     OwnersMissing {
-        /// Owners that did not report in time.
+        /// Number of owners that did not report in time.
         silent: usize,
-        /// Slices of the gather.
+        /// Number of slices of the gather.
         slices: usize,
-        /// How long.
+        /// How long gathers are not sliced.
         lasts: Duration,
     },
-    /// A request is suspected of crashing servers, kept from them, or cleared.
+    /// A request was suspected of crashing servers, quarantined or cleared.
     Quarantine {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
         /// New state.
         state: &'static str,
-        /// Instances that ended while they had it, the newest last.
+        /// Instances that crashed while running the request, oldest first.
         instances: Vec<BackEndId>,
-        /// Who decided that.
+        /// Origin of the decision.
         origin: ViewOrigin,
     },
-    /// Members that share the budgets.
+    /// The number of members that share the budgets changed.
     Members {
-        /// Number.
+        /// Number of members.
         members: usize,
     },
-    /// Nodes by which this one divides the slack of its budgets; `None` while it cannot know.
+    /// The number of nodes among which the budget slack is divided changed.
     BudgetSharers {
-        /// Number.
+        /// Number of nodes; `None` while unknown.
         sharers: Option<usize>,
     },
-    /// The node's own life.
+    /// The lifecycle state of this node changed.
     Lifecycle {
         /// New state.
         state: &'static str,
     },
 }
 
-/// Where a view or a belief came from.
+/// Origin of a view or state change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewOrigin {
-    /// The store.
+    /// Read from the store.
     Store,
-    /// A peer.
+    /// Received from a peer.
     Peer,
-    /// This node.
+    /// Determined by this node.
     Own,
 }
 
 impl ViewOrigin {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Store => "store",
