--- a/crates/thornbridge-core/src/gateway/servers/choosing.rs
+++ b/crates/thornbridge-core/src/gateway/servers/choosing.rs
@@ -1,4 +1,7 @@
-//! The choice of a server: the least cost, in time that its answer is expected to take.
+//! Server selection: the server with the lowest cost is chosen.
+//!
+//! A cost is a duration: the expected latency of an answer, plus penalties for distance, failures,
+//! rejections and overdue attempts.
 
 use super::server::{Availability, Distance, Server};
 use super::{ServerKey, Servers};
@@ -8,26 +11,28 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Share by which costs are blurred, so that nodes do not all choose alike.
-const BLUR: f64 = 0.1;
-/// Cost of a last choice.
-const VANISHED_COST: Duration = Duration::from_millis(250);
-/// Time that a server takes to accept a connection, beside the round trip.
-const ACCEPT_COST: Duration = Duration::from_millis(5);
+/// Largest relative jitter added to a cost, so that nodes do not all choose the same server.
+const COST_JITTER: f64 = 0.1;
+/// Penalty for a server whose registry entry vanished.
+const VANISHED_SERVER_COST: Duration = Duration::from_millis(250);
+/// Time for a server to accept a connection, beyond the round trip.
+const ACCEPT_TIME: Duration = Duration::from_millis(5);
 
-/// A chosen server.
+/// A selected server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(in crate::gateway) struct Choice {
     pub(in crate::gateway) server: ServerKey,
-    /// Time that its answer is expected to take, with everything that speaks against it.
+    /// Expected latency of the answer plus all penalties.
     pub(in crate::gateway) cost: Duration,
-    /// Whether it does not answer attempts that it should have answered.
+    /// Whether an attempt at the server is overdue.
     pub(in crate::gateway) silent: bool,
 }
 
 impl Servers {
-    /// Chooses a server of the service that is not excluded, for work that usually takes `work`.
-    /// One that this node does not keep a connection to is a last resort.
+    /// Selects the cheapest server of a service that is not in `excluded`.
+    ///
+    /// `work` is the usual processing time of the request. Servers outside of this node's subset
+    /// are used only if no server of the subset is reachable.
     pub(in crate::gateway) fn choose(
         &self,
         now: Timestamp,
@@ -36,8 +41,8 @@
         work: Duration,
         excluded: &[ServerKey],
     ) -> Option<Choice> {
-        let assigned = self.choose_among(now, random, service, work, excluded, true);
-        assigned.or_else(|| self.choose_among(now, random, service, work, excluded, false))
+        let preferred = self.choose_among(now, random, service, work, excluded, true);
+        preferred.or_else(|| self.choose_among(now, random, service, work, excluded, false))
     }
 
     fn choose_among(
@@ -47,7 +52,7 @@
         service: ServiceKey,
         work: Duration,
         excluded: &[ServerKey],
-        assigned: bool,
+        in_subset: bool,
     ) -> Option<Choice> {
         let keys = &self.services[service.0 as usize].servers;
         let mut best: Option<Choice> = None;
@@ -58,13 +63,13 @@
             let Some(server) = self.servers.get(key) else {
                 continue;
             };
-            let eligible = server.assigned == assigned && server.takes_requests();
+            let eligible = server.in_subset == in_subset && server.takes_requests();
             if !eligible || !self.is_reachable(now, server) {
                 continue;
             }
             let silent = server.is_silent(&self.parameters, now);
-            let blur = 1.0 + random.random_range(0.0..BLUR);
-            let cost = self.cost(now, server, work, silent).mul_f64(blur);
+            let jitter = 1.0 + random.random_range(0.0..COST_JITTER);
+            let cost = self.cost(now, server, work, silent).mul_f64(jitter);
             if best.is_none_or(|best| cost < best.cost) {
                 let server = *key;
                 best = Some(Choice {
@@ -77,18 +82,18 @@
         best
     }
 
-    /// Has a connection, or may open one now.
+    /// Whether this node has a connection to the server, or may open one now.
     fn is_reachable(&self, now: Timestamp, server: &Server) -> bool {
-        server.open + server.opening > 0 || server.connect_after <= now
+        server.open + server.opening > 0 || server.reconnect_at <= now
     }
 
     fn cost(&self, now: Timestamp, server: &Server, work: Duration, silent: bool) -> Duration {
         let parameters = &self.parameters;
         let speed = server.speed(parameters, now);
         let limit = self.services[server.service.0 as usize].own_connections;
-        // A node with fewer connections than the server has slots waits for these.
-        let lanes = server.slots.min(limit.max(1));
-        let queue = server.queue(now, lanes) / f64::from(lanes);
+        // The node's connection limit may be lower than the server's slots.
+        let concurrency = server.slots.min(limit.max(1));
+        let queue = server.queue(now, concurrency) / f64::from(concurrency);
         let mut cost = server.round_trip() + work.mul_f64(speed * (1.0 + queue));
         cost += match server.distance {
             Distance::SameZone => Duration::ZERO,
@@ -101,10 +106,10 @@
             cost += parameters.silence_cost;
         }
         if server.resting.is_empty() && server.open + server.opening < limit.max(1) {
-            cost += server.round_trip() + ACCEPT_COST;
+            cost += server.round_trip() + ACCEPT_TIME;
         }
         if matches!(server.availability, Availability::Vanished { .. }) {
-            cost += VANISHED_COST;
+            cost += VANISHED_SERVER_COST;
         }
         cost
     }
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -1,10 +1,10 @@
-//! Connections to servers: how many, when to open one, and which one carries the next attempt.
+//! Connection pool: limits per server, connecting ahead of use, and idle timeouts.
 //!
-//! Guards against two things: more connections than a server takes from all nodes together, and
-//! churn, since opening one costs the server a slot for a moment.
+//! Guards against exceeding a server's connection limit, which all nodes share, and against
+//! connection churn: accepting a connection occupies a slot of the server for a moment.
 
 use super::queue::Waiting;
-use super::server::{Availability, Resting, Server};
+use super::server::{Availability, IdleConnection, Server};
 use super::{ServerKey, Servers};
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::gateway::action::GatewayAction;
@@ -14,43 +14,41 @@
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
 
-/// Connections to a server whose limit is not known.
-const UNKNOWN_CONNECTIONS: u32 = 2;
-/// Part of the announced rest that is left unused: the server counts from an earlier moment.
-const KEEP_ALIVE_RESERVE: f64 = 0.3;
-/// Most that is left unused of it: the way, and a stall of this node.
-const KEEP_ALIVE_RESERVE_MAXIMUM: Duration = Duration::from_millis(500);
+/// Connections to each server of a service without a configured limit.
+const DEFAULT_CONNECTION_LIMIT: u32 = 2;
+/// Share of an announced keep-alive time left unused, since the server starts counting earlier.
+const KEEP_ALIVE_MARGIN_SHARE: f64 = 0.3;
+/// Upper bound of that margin; covers the network delay and a stall of this node.
+const KEEP_ALIVE_MARGIN_MAXIMUM: Duration = Duration::from_millis(500);
+/// Factor on the number of owners: member lists differ, so more nodes may consider themselves owners.
+const OWNER_COUNT_FACTOR: u32 = 2;
+/// Time after startup during which connections are opened ahead of use even if they are scarce.
+const SCARCITY_STARTUP_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Nodes that may take themselves for one of the owners, for each that is: a guess at how far member
-/// lists differ.
-const OWNERS_RESERVE: u32 = 2;
-
-/// Time after a start in which connections are opened ahead of use though servers refuse many.
-const SCARCE_AFTER: Duration = Duration::from_millis(1_500);
-/// A connection that is open or opening.
+/// An open or opening connection.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::gateway) struct Connection {
     pub(in crate::gateway) server: ServerKey,
-    /// When it was opened; `None` while it opens.
-    pub(super) opened: Option<Timestamp>,
-    /// Until when it is proved before it carries anything.
-    pub(super) proving: Option<Timestamp>,
-    /// Whether it ever carried an answer.
+    /// When the connection was established; `None` while it is opening.
+    pub(super) opened_at: Option<Timestamp>,
+    /// End of the probation, during which the connection carries no request.
+    pub(super) probation_until: Option<Timestamp>,
+    /// Whether the connection ever carried an answer.
     pub(in crate::gateway) used: bool,
     pub(in crate::gateway) attempt: Option<AttemptId>,
 }
 
-/// What became of the wish for a connection.
+/// Result of acquiring a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum OpenOutcome {
-    /// This one rests.
+    /// An idle connection is available.
     Resting(ConnectionId),
-    /// One is opening, or will be free.
+    /// No connection is idle; one is opening or will be released.
     Wait,
 }
 
 impl Servers {
-    /// Connections that this node may have to a server.
+    /// Updates and returns the number of connections that this node may have to each server.
     fn connection_limit(&mut self, now: Timestamp, service: ServiceKey) -> u32 {
         let limit = self.compute_connection_limit(now, service);
         self.services[service.0 as usize].own_connections = limit;
@@ -63,38 +61,38 @@
         }
         let known = self.services[service.0 as usize].connections;
         let Some(all) = known else {
-            return UNKNOWN_CONNECTIONS;
+            return DEFAULT_CONNECTION_LIMIT;
         };
         let members = match self.services[service.0 as usize].ownership {
-            Some(ownership) => f64::from(ownership.owners * OWNERS_RESERVE),
+            Some(ownership) => f64::from(ownership.owners * OWNER_COUNT_FACTOR),
             None => self.members.maximum(now).max(1) as f64,
         };
         let share = f64::from(all) * self.parameters.connection_share / members;
         (share as u32).clamp(1, self.parameters.connections_maximum)
     }
 
-    /// A resting connection of the server; opens one where none rests and one more is allowed.
+    /// Takes an idle connection of the server, or opens one if the limit allows it.
     pub(in crate::gateway) fn connection_for(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
         key: ServerKey,
     ) -> OpenOutcome {
-        self.close_rested(now, actions, key);
+        self.close_expired_idle(now, actions, key);
         let Some(server) = self.servers.get_mut(&key) else {
             return OpenOutcome::Wait;
         };
         if let Some(resting) = server.resting.pop() {
             return OpenOutcome::Resting(resting.connection);
         }
-        let wanted = server.waiting.len() as u32 + 1;
-        if server.opening < wanted {
+        let needed = server.waiting.len() as u32 + 1;
+        if server.opening < needed {
             self.open(now, actions, key);
         }
         OpenOutcome::Wait
     }
 
-    /// Opens a connection for what waits for one, where more wait than open.
+    /// Opens a connection if more parts are queued than connections are opening.
     pub(in crate::gateway) fn open_for_waiting(
         &mut self,
         now: Timestamp,
@@ -107,7 +105,7 @@
         }
     }
 
-    /// Opens a connection where it is allowed.
+    /// Opens a connection if backoff and limit allow it; returns whether it did.
     fn open(
         &mut self,
         now: Timestamp,
@@ -123,15 +121,15 @@
             return false;
         };
         let live = server.live_connections(&self.parameters, now);
-        if now < server.connect_after || live + server.opening >= limit {
+        if now < server.reconnect_at || live + server.opening >= limit {
             return false;
         }
         self.next_connection += 1;
         let connection = ConnectionId(self.next_connection);
         let entry = Connection {
             server: key,
-            opened: None,
-            proving: None,
+            opened_at: None,
+            probation_until: None,
             used: false,
             attempt: None,
         };
@@ -147,9 +145,10 @@
         true
     }
 
-    /// Opens a connection to the servers of the services that are kept warm, and closes those that
-    /// have rested for long enough. A server whose last connection was closed for want of use gets
-    /// a new one only when it is needed, or when its service has no other.
+    /// Opens connections ahead of use for all warm services, and closes expired idle connections.
+    ///
+    /// A server whose last connection expired unused is connected to again only on demand, or if
+    /// its service has no other connection.
     pub(in crate::gateway) fn keep_warm(
         &mut self,
         now: Timestamp,
@@ -159,35 +158,36 @@
         for index in 0..self.services.len() as u32 {
             self.connection_limit(now, ServiceKey(index));
         }
-        let services: Vec<ServiceKey> = self.kept_warm.iter().copied().collect();
-        let change = self.scarcity.change(now);
+        let services: Vec<ServiceKey> = self.warm_services.iter().copied().collect();
+        let change = self.scarcity.take_change(now);
         actions.extend(change.map(GatewayAction::Changed));
-        // Few are left: they are opened for requests only.
-        let scarce = now.since_epoch() >= SCARCE_AFTER && self.scarcity.is_scarce(now);
+        // Scarce connections are opened on demand only.
+        let scarce = now.since_epoch() >= SCARCITY_STARTUP_GRACE && self.scarcity.is_scarce(now);
         for service in services.into_iter().filter(|_| !scarce) {
-            for key in self.cold_servers(now, service) {
+            for key in self.preconnect_candidates(now, service) {
                 self.open(now, actions, key);
             }
         }
         let all: Vec<ServerKey> = self.servers.keys().copied().collect();
         for key in all {
-            self.close_rested(now, actions, key);
+            self.close_expired_idle(now, actions, key);
         }
     }
 
-    /// Servers of a service to which a connection is to be opened ahead of use. Guards against
-    /// connections that grow with nodes times servers, most of which are never used.
-    fn cold_servers(&self, now: Timestamp, service: ServiceKey) -> Vec<ServerKey> {
+    /// Servers of a service to connect to ahead of use, at most `servers_ahead` connected in total.
+    ///
+    /// Guards against a number of mostly unused connections that grows with nodes times servers.
+    fn preconnect_candidates(&self, now: Timestamp, service: ServiceKey) -> Vec<ServerKey> {
         let keys = &self.services[service.0 as usize].servers;
         let found = keys
             .iter()
             .filter_map(|key| Some((*key, self.servers.get(key)?)));
-        let kept = found.filter(|(_, server)| {
+        let eligible = found.filter(|(_, server)| {
             let ready = server.availability == Availability::Ready && server.takes_requests();
-            server.assigned && ready
+            server.in_subset && ready
         });
-        let (connected, cold): (Vec<_>, Vec<_>) =
-            kept.partition(|(_, server)| server.open + server.opening > 0);
+        let (connected, unconnected): (Vec<_>, Vec<_>) =
+            eligible.partition(|(_, server)| server.open + server.opening > 0);
         let room = self
             .parameters
             .servers_ahead
@@ -195,29 +195,32 @@
         if room == 0 {
             return Vec::new();
         }
-        let mut cold: Vec<(ServerKey, &Server)> = cold
+        let mut candidates: Vec<(ServerKey, &Server)> = unconnected
             .into_iter()
-            .filter(|(_, server)| server.connect_after <= now)
+            .filter(|(_, server)| server.reconnect_at <= now)
             .collect();
-        cold.sort_by_cached_key(|(_, server)| {
-            let order = self.subset.order_of(&server.id);
-            (!server.wanted, server.distance, order)
+        candidates.sort_by_cached_key(|(_, server)| {
+            let rank = self.subset.rendezvous_rank(&server.id);
+            (!server.preconnect, server.distance, rank)
         });
-        // Those that are not wanted come last: one of them where there is no other.
-        let unwanted = usize::from(connected.is_empty());
-        let wanted = cold.iter().filter(|(_, server)| server.wanted).count();
-        let keys = cold.into_iter().map(|(key, _)| key);
-        keys.take(wanted.max(unwanted).min(room)).collect()
+        // Without any connection, one server is connected to even if none is marked `preconnect`.
+        let least = usize::from(connected.is_empty());
+        let marked = candidates
+            .iter()
+            .filter(|(_, server)| server.preconnect)
+            .count();
+        let keys = candidates.into_iter().map(|(key, _)| key);
+        keys.take(marked.max(least).min(room)).collect()
     }
 
-    /// Takes a connection off the tables.
+    /// Removes a connection from the tables and from its server.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Option<Connection> {
         let entry = self.connections.remove(&connection)?;
-        if let Some(until) = entry.proving {
-            self.scarcity.forget(connection, until);
+        if let Some(until) = entry.probation_until {
+            self.scarcity.cancel_probation(connection, until);
         }
         let server = self.servers.get_mut(&entry.server)?;
-        if entry.opened.is_some() {
+        if entry.opened_at.is_some() {
             server.open = server.open.saturating_sub(1);
         } else {
             server.opening = server.opening.saturating_sub(1);
@@ -228,18 +231,20 @@
         Some(entry)
     }
 
-    /// The connection and server of an attempt.
+    /// Marks a connection as carrying an attempt.
     pub(in crate::gateway) fn occupy(&mut self, connection: ConnectionId, attempt: AttemptId) {
         let Some(entry) = self.connections.get_mut(&connection) else {
             return;
         };
         entry.attempt = Some(attempt);
         if let Some(server) = self.servers.get_mut(&entry.server) {
-            server.wanted = true;
+            server.preconnect = true;
         }
     }
 
-    /// An attempt ended and its connection may carry another.
+    /// Returns a connection to the pool after its attempt ended.
+    ///
+    /// `keep_alive` is the idle time that the server announced, if any.
     pub(in crate::gateway) fn release(
         &mut self,
         now: Timestamp,
@@ -257,42 +262,44 @@
         let Some(server) = self.servers.get_mut(&key) else {
             return;
         };
-        server.refusals = 0;
-        let spare = server.open > 1 || !server.assigned;
-        let own = match spare {
+        server.consecutive_refusals = 0;
+        let spare = server.open > 1 || !server.in_subset;
+        let idle_limit = match spare {
             _ if scarce => self.parameters.scarce_idle_time,
             true => self.parameters.spare_idle_time,
             false => self.parameters.idle_time,
         };
-        let named = keep_alive.map(usable_rest);
-        let rest = named.map_or(own, |named| named.min(own));
-        server.resting.push(Resting {
+        let announced = keep_alive.map(usable_keep_alive);
+        let idle_time = announced.map_or(idle_limit, |announced| announced.min(idle_limit));
+        server.resting.push(IdleConnection {
             connection,
             since: now,
-            until: now + rest,
+            expires_at: now + idle_time,
         });
         self.close_idle_if_leaving(actions, key);
     }
 
-    /// Closes a connection and forgets it.
+    /// Closes a connection and removes it.
     pub(in crate::gateway) fn close(
         &mut self,
         actions: &mut VecDeque<GatewayAction>,
         connection: ConnectionId,
     ) {
         actions.push_back(GatewayAction::Close { connection });
-        self.forget_connection(connection);
+        self.discard_connection(connection);
     }
 
-    /// A connection ended with its attempt.
-    pub(in crate::gateway) fn forget_connection(&mut self, connection: ConnectionId) {
+    /// Removes a closed connection, and its server if that is drained.
+    pub(in crate::gateway) fn discard_connection(&mut self, connection: ConnectionId) {
         if let Some(entry) = self.remove_connection(connection) {
             self.forget_if_over(entry.server);
         }
     }
 
-    /// A server that leaves needs no resting connection. One of an evacuated zone does: it is back
-    /// within seconds, and opening anew costs it a slot.
+    /// Closes the idle connections of a server that is draining or gone.
+    ///
+    /// Servers of evacuated zones keep theirs: an evacuation may end within seconds, and
+    /// reconnecting would occupy slots.
     pub(super) fn close_idle_if_leaving(
         &mut self,
         actions: &mut VecDeque<GatewayAction>,
@@ -309,8 +316,8 @@
         }
     }
 
-    /// Closes connections that the server is about to close, and those that may be dead.
-    fn close_rested(
+    /// Closes idle connections whose idle time is over or that may be dead.
+    fn close_expired_idle(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
@@ -320,20 +327,19 @@
             return;
         };
         let parameters = &self.parameters;
-        let rested = server
-            .resting
-            .iter()
-            .filter(|resting| resting.until <= now || server.may_be_dead(parameters, now, resting));
-        let rested: Vec<ConnectionId> = rested.map(|resting| resting.connection).collect();
-        for connection in rested {
+        let expired = server.resting.iter().filter(|resting| {
+            resting.expires_at <= now || server.may_be_dead(parameters, now, resting)
+        });
+        let expired: Vec<ConnectionId> = expired.map(|resting| resting.connection).collect();
+        for connection in expired {
             self.close(actions, connection);
             if let Some(server) = self.servers.get_mut(&key) {
-                server.wanted &= server.open > 0;
+                server.preconnect &= server.open > 0;
             }
         }
     }
 
-    /// The next part that waits for a connection of the server.
+    /// Takes the next part off the server's queue.
     pub(in crate::gateway) fn next_waiting(
         &mut self,
         now: Timestamp,
@@ -342,7 +348,7 @@
         self.servers.get_mut(&key)?.waiting.pop(now)
     }
 
-    /// Takes a part off the queue of a server.
+    /// Removes a part from the server's queue.
     pub(in crate::gateway) fn stop_waiting(
         &mut self,
         key: ServerKey,
@@ -355,8 +361,8 @@
     }
 }
 
-/// Part of an announced rest in which the connection may carry another attempt.
-fn usable_rest(announced: Duration) -> Duration {
-    let reserve = announced.mul_f64(KEEP_ALIVE_RESERVE);
-    announced.saturating_sub(reserve.min(KEEP_ALIVE_RESERVE_MAXIMUM))
+/// Part of an announced keep-alive time in which the connection may carry another attempt.
+fn usable_keep_alive(announced: Duration) -> Duration {
+    let margin = announced.mul_f64(KEEP_ALIVE_MARGIN_SHARE);
+    announced.saturating_sub(margin.min(KEEP_ALIVE_MARGIN_MAXIMUM))
 }
--- a/crates/thornbridge-core/src/gateway/servers/opening.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -1,45 +1,45 @@
-//! The first moments of a connection, and what its loss says of the server.
+//! Connection lifecycle: probation after opening, and classification of lost connections.
 //!
-//! Guards against a request that is written to a connection that its server resets at once, since
-//! it has too many: the request may have run then, and another attempt is an extra one.
+//! A server over its connection limit accepts a connection and resets it at once. A request already
+//! written to such a connection may have run, so that a retry would count against the budget.
 
 use super::connections::Connection;
-use super::server::Resting;
+use super::server::IdleConnection;
 use super::{ServerKey, Servers};
 use crate::driver_action::ConnectionId;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time beyond a round trip in which a server that has too many connections closes a fresh one.
-const PROOF_MARGIN: Duration = Duration::from_millis(4);
-/// Longest round trip that a proof waits.
-const PROOF_MAXIMUM: Duration = Duration::from_millis(60);
-/// Time after opening in which the loss of an unused connection is a refusal.
-const REFUSED_WITHIN: Duration = Duration::from_millis(400);
+/// Time beyond a round trip within which an overloaded server resets a fresh connection.
+const PROBATION_MARGIN: Duration = Duration::from_millis(4);
+/// Longest round trip taken into account by a probation.
+const PROBATION_MAXIMUM: Duration = Duration::from_millis(60);
+/// Time after opening within which the loss of an unused connection counts as a refusal.
+const REFUSAL_WINDOW: Duration = Duration::from_millis(400);
 
-/// What the loss of a connection says of its server.
+/// Classification of a lost connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum Loss {
-    /// It could not be opened.
+    /// The connection could not be opened.
     Unreachable,
-    /// It was opened and closed at once: the server has too many.
+    /// The connection was reset right after opening: the server is over its connection limit.
     Refused,
-    /// It was closed after it had rested.
+    /// The connection was closed after use or after some time idle.
     Rested,
 }
 
 impl Connection {
     fn loss(&self, now: Timestamp) -> Loss {
-        match self.opened {
+        match self.opened_at {
             None => Loss::Unreachable,
-            Some(at) if !self.used && now.since(at) < REFUSED_WITHIN => Loss::Refused,
+            Some(at) if !self.used && now.since(at) < REFUSAL_WINDOW => Loss::Refused,
             Some(_) => Loss::Rested,
         }
     }
 }
 
 impl Servers {
-    /// A connection is open; gives the server where it may carry a request.
+    /// Records that a connection opened; returns its server if the connection is usable at once.
     pub(in crate::gateway) fn opened(
         &mut self,
         now: Timestamp,
@@ -47,55 +47,56 @@
         took: Duration,
     ) -> Option<ServerKey> {
         let settling = now.since_epoch() < self.parameters.settling;
-        let proves = settling || self.scarcity.refusals_seen(now);
+        let on_probation = settling || self.scarcity.has_refusals(now);
         self.scarcity.opened(now);
         let entry = self.connections.get_mut(&connection)?;
-        entry.opened = Some(now);
+        entry.opened_at = Some(now);
         let key = entry.server;
         let server = self.servers.get_mut(&key)?;
         server.opening = server.opening.saturating_sub(1);
         server.open += 1;
         server.observe_round_trip(took);
-        if proves {
-            let until = now + took.min(PROOF_MAXIMUM) + PROOF_MARGIN;
-            entry.proving = Some(until);
-            self.scarcity.prove(connection, until);
+        if on_probation {
+            let until = now + took.min(PROBATION_MAXIMUM) + PROBATION_MARGIN;
+            entry.probation_until = Some(until);
+            self.scarcity.begin_probation(connection, until);
             return None;
         }
-        self.rest_fresh(now, connection, key);
+        self.add_idle(now, connection, key);
         Some(key)
     }
 
-    /// Connections that were not refused may carry requests now; gives their servers.
+    /// Makes connections available whose probation is over; returns their servers.
     pub(in crate::gateway) fn proved(&mut self, now: Timestamp) -> Vec<ServerKey> {
         let mut servers = Vec::new();
-        while let Some(connection) = self.scarcity.next_proved(now) {
+        while let Some(connection) = self.scarcity.pop_ended_probation(now) {
             let Some(entry) = self.connections.get_mut(&connection) else {
                 continue;
             };
-            entry.proving = None;
+            entry.probation_until = None;
             let key = entry.server;
-            self.rest_fresh(now, connection, key);
+            self.add_idle(now, connection, key);
             servers.push(key);
         }
         servers
     }
 
-    fn rest_fresh(&mut self, now: Timestamp, connection: ConnectionId, key: ServerKey) {
-        let idle = match self.scarcity.is_scarce(now) {
+    fn add_idle(&mut self, now: Timestamp, connection: ConnectionId, key: ServerKey) {
+        let idle_time = match self.scarcity.is_scarce(now) {
             true => self.parameters.scarce_idle_time,
             false => self.parameters.idle_time,
         };
         if let Some(server) = self.servers.get_mut(&key) {
-            server.resting.push(Resting {
+            server.resting.push(IdleConnection {
                 connection,
                 since: now,
-                until: now + idle,
+                expires_at: now + idle_time,
             });
         }
     }
 
-    /// A connection is lost; gives the server, and what that says of it.
+    /// Records a connection that was lost without an attempt; returns its server and the
+    /// classification of the loss.
     pub(in crate::gateway) fn lost(
         &mut self,
         now: Timestamp,
@@ -111,11 +112,11 @@
         if loss == Loss::Unreachable {
             server.failed(parameters, now, parameters.unreachable_cost);
         }
-        if !entry.used && entry.opened.is_some() {
-            server.wanted = false;
+        if !entry.used && entry.opened_at.is_some() {
+            server.preconnect = false;
         }
         if !entry.used {
-            let longest = match entry.opened.is_some() {
+            let longest = match entry.opened_at.is_some() {
                 true => parameters.refused_pause_maximum,
                 false => parameters.reconnect_pause_maximum,
             };
@@ -124,12 +125,12 @@
         Some((entry.server, loss))
     }
 
-    /// A connection broke under its attempt.
+    /// Records a connection that broke while it carried an attempt.
     pub(in crate::gateway) fn broke(&mut self, now: Timestamp, connection: ConnectionId) {
         let known = self.connections.get(&connection);
         if known.is_some_and(|entry| entry.loss(now) == Loss::Refused) {
             self.scarcity.refused(now);
         }
-        self.forget_connection(connection);
+        self.discard_connection(connection);
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -1,11 +1,11 @@
-//! The servers that are known, their connections, and the choice among them.
+//! Known servers, their connections, and server selection.
 //!
-//! Guards against slow, silent, failing and leaving servers: a server is chosen by the latency
-//! that is to be expected of it, and one that leaves gets nothing new on any path.
+//! Servers are selected by expected latency, so that slow, unresponsive and failing servers are
+//! avoided. A draining server gets no new requests.
 
 mod choosing;
 mod connections;
-mod opening;
+mod lifecycle;
 mod queue;
 mod registering;
 mod rejections;
@@ -15,7 +15,7 @@
 
 pub(super) use choosing::Choice;
 pub(super) use connections::{Connection, OpenOutcome};
-pub(super) use opening::Loss;
+pub(super) use lifecycle::Loss;
 pub(super) use queue::Waiting;
 #[cfg(test)]
 pub(super) use queue::WaitingQueue;
@@ -23,7 +23,6 @@
 pub(super) use subset::Sharer;
 
 use super::action::GatewayAction;
-
 use super::budget::ServiceKey;
 use super::parameters::ServerParameters;
 use super::slices::Ownership;
@@ -38,14 +37,14 @@
 use thornbridge_config::routes::RoutedService;
 use thornbridge_proto::{BackEndId, RegionName, ServiceName, ZoneName};
 
-/// Steps in which the highest number of members is remembered.
-const MEMBER_STEPS: u32 = 20;
+/// Steps of the window over which the maximum number of members is taken.
+const MEMBER_WINDOW_STEPS: u32 = 20;
 
-/// Position of a server in the table; never used twice.
+/// Key of a server; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ServerKey(pub(super) u32);
 
-/// Where this node stands, and which zones are in which region.
+/// Zone and region of this node, and the regions of all zones.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// Zone of this node.
@@ -60,15 +59,15 @@
 struct ServiceEntry {
     name: Option<ServiceName>,
     servers: Vec<ServerKey>,
-    /// Connections that each server takes from all callers together, where it is known.
+    /// Connections that each server accepts from all nodes together, if configured.
     connections: Option<u32>,
     /// Connections that this node may have to each server.
     own_connections: u32,
-    /// Who keeps connections to its servers, where it belongs to a group of shards.
+    /// Owners that connect to the servers, if the service belongs to a group of shards.
     ownership: Option<Ownership>,
 }
 
-/// All servers.
+/// All known servers and the connections to them.
 #[derive(Debug)]
 pub(super) struct Servers {
     pub(super) parameters: ServerParameters,
@@ -83,21 +82,21 @@
     service_names: BTreeMap<ServiceName, ServiceKey>,
     services: Vec<ServiceEntry>,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Services to whose servers a connection is kept open.
-    kept_warm: BTreeSet<ServiceKey>,
-    /// Zones whose servers are to get nothing.
+    /// Services to whose servers connections are opened ahead of use.
+    warm_services: BTreeSet<ServiceKey>,
+    /// Zones whose servers get no requests.
     evacuated: BTreeSet<ZoneName>,
 }
 
 impl Servers {
     pub(super) fn new(parameters: ServerParameters, placement: Placement, own: SocketAddr) -> Self {
-        let step = parameters.members_memory / MEMBER_STEPS;
+        let step = parameters.members_memory / MEMBER_WINDOW_STEPS;
         Self {
             subset: Subset::new(own, &placement),
             scarcity: Scarcity::new(parameters.scarcity_window),
             parameters,
             placement,
-            members: MaximumWindow::new(step, MEMBER_STEPS),
+            members: MaximumWindow::new(step, MEMBER_WINDOW_STEPS),
             next_key: 0,
             next_connection: 0,
             servers: BTreeMap::new(),
@@ -105,12 +104,12 @@
             service_names: BTreeMap::new(),
             services: Vec::new(),
             connections: BTreeMap::new(),
-            kept_warm: BTreeSet::new(),
+            warm_services: BTreeSet::new(),
             evacuated: BTreeSet::new(),
         }
     }
 
-    /// The position of a service.
+    /// Key of a service, which is added if it is new.
     pub(super) fn service(&mut self, name: &ServiceName) -> ServiceKey {
         if let Some(key) = self.service_names.get(name) {
             return *key;
@@ -124,17 +123,16 @@
         key
     }
 
-    /// The position of a service that is known.
+    /// Key of a service, if it is known.
     pub(super) fn known_service(&self, name: &ServiceName) -> Option<ServiceKey> {
         self.service_names.get(name).copied()
     }
 
-    /// Name of a service.
     pub(super) fn service_name(&self, key: ServiceKey) -> Option<&ServiceName> {
         self.services.get(key.0 as usize)?.name.as_ref()
     }
 
-    /// Takes who owns which service; the others are shared by all members.
+    /// Sets the owners of services; services without owners are shared by all members.
     pub(super) fn set_ownership(&mut self, owned: &BTreeMap<ServiceKey, Ownership>) {
         for index in 0..self.services.len() as u32 {
             let key = ServiceKey(index);
@@ -147,7 +145,7 @@
         }
     }
 
-    /// Takes what a configuration says of services, and the services to keep connections to.
+    /// Applies the connection limits of a configuration, and the services to keep warm.
     pub(super) fn configure(&mut self, services: &[RoutedService], warm: BTreeSet<ServiceKey>) {
         for service in services {
             let key = self.service(&service.name);
@@ -157,7 +155,7 @@
                 self.subset.invalidate(key);
             }
         }
-        self.kept_warm = warm;
+        self.warm_services = warm;
     }
 
     pub(super) fn get(&self, key: ServerKey) -> Option<&Server> {
@@ -168,7 +166,6 @@
         self.servers.get_mut(&key)
     }
 
-    /// Servers of a service.
     pub(super) fn of_service(&self, service: ServiceKey) -> impl Iterator<Item = &Server> {
         let keys = &self.services[service.0 as usize].servers;
         keys.iter().filter_map(|key| self.servers.get(key))
@@ -179,7 +176,7 @@
         self.of_service(service).any(Server::takes_requests)
     }
 
-    /// Whether a service has servers, and the operator wants nothing to be sent to any of them.
+    /// Whether a service has servers that are not leaving, all of them in evacuated zones.
     pub(super) fn is_evacuated(&self, service: ServiceKey) -> bool {
         let mut staying = self
             .of_service(service)
@@ -189,14 +186,14 @@
         any && staying.all(|server| server.evacuated)
     }
 
-    /// Whether a service has a server that takes requests beside these.
+    /// Whether a service has a server that takes requests and is not in `tried`.
     pub(super) fn has_other_server(&self, service: ServiceKey, tried: &[ServerKey]) -> bool {
         let keys = &self.services[service.0 as usize].servers;
         let mut others = keys.iter().filter(|key| !tried.contains(key));
         others.any(|key| self.get(*key).is_some_and(Server::takes_requests))
     }
 
-    /// Whether a server of the service has an open connection, or other nodes serve it.
+    /// Whether a server of the service has an open connection, or only other nodes own the service.
     pub(super) fn is_warm(&self, service: ServiceKey) -> bool {
         let ownership = self.services[service.0 as usize].ownership;
         if ownership.is_some_and(|ownership| !ownership.own) {
@@ -206,7 +203,7 @@
             .any(|server| server.takes_requests() && server.open > 0)
     }
 
-    /// Round trip to the nearest server of the same service beside this one.
+    /// Round trip to the nearest other server of the same service.
     pub(super) fn round_trip_beside(&self, key: ServerKey) -> Option<Duration> {
         let service = self.servers.get(&key)?.service;
         let keys = self.services[service.0 as usize].servers.iter();
@@ -216,14 +213,15 @@
         taking.map(Server::round_trip).min()
     }
 
-    /// Number of servers that take requests.
+    /// Number of servers that may get requests.
     pub(super) fn taking_requests(&self) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.takes_requests()).count()
     }
 
-    /// The servers of a zone are to get nothing, or may get requests again: cold then, since they had
-    /// none. Gives how many there are.
+    /// Evacuates a zone or ends its evacuation; returns the number of its servers.
+    ///
+    /// Servers count as cold after an evacuation.
     pub(super) fn set_evacuated(
         &mut self,
         now: Timestamp,
@@ -240,14 +238,14 @@
             changed += 1;
             server.evacuated = evacuated;
             if !evacuated {
-                server.is_cold_until(now + self.parameters.cold_after_evacuation);
+                server.extend_cold_start(now + self.parameters.cold_after_evacuation);
             }
             self.subset.invalidate(server.service);
         }
         changed
     }
 
-    /// Servers that take nothing new, and for which something still waits.
+    /// Servers that take no new requests and still have queued parts.
     pub(super) fn leaving_with_waiting(&self) -> Vec<ServerKey> {
         let leaving = |server: &Server| !server.takes_requests() && !server.waiting.is_empty();
         let servers = self.servers.iter();
@@ -255,22 +253,23 @@
         found.map(|(key, _)| *key).collect()
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is due next.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        let vanishing = self.servers.values().filter_map(Server::vanishes_at);
+        let vanishing = self.servers.values().filter_map(Server::vanished_until);
         vanishing.chain(self.scarcity.next_timeout()).min()
     }
 
-    /// Ends the grace of instances that did not register again.
+    /// Marks vanished servers as gone whose grace period is over.
     pub(super) fn timer_due(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
-        let over = |server: &Server| server.vanishes_at().is_some_and(|until| until <= now);
-        let ended: Vec<ServerKey> = self
+        let is_expired =
+            |server: &Server| server.vanished_until().is_some_and(|until| until <= now);
+        let expired: Vec<ServerKey> = self
             .servers
             .iter()
-            .filter(|(_, server)| over(server))
+            .filter(|(_, server)| is_expired(server))
             .map(|(key, _)| *key)
             .collect();
-        for key in ended {
+        for key in expired {
             if let Some(server) = self.servers.get_mut(&key) {
                 server.availability = Availability::Gone;
                 self.subset.invalidate(server.service);
@@ -280,20 +279,20 @@
         }
     }
 
-    /// Forgets a server that is gone once nothing of it is left.
+    /// Removes a gone server once it has no attempts, connections or queued parts.
     pub(super) fn forget_if_over(&mut self, key: ServerKey) {
         let Some(server) = self.servers.get(&key) else {
             return;
         };
-        let over = server.availability == Availability::Gone
+        let drained = server.availability == Availability::Gone
             && server.outstanding.is_empty()
             && server.open + server.opening == 0
             && server.waiting.is_empty();
-        if !over {
+        if !drained {
             return;
         }
         let service = server.service;
-        // Another run may have its identity by now.
+        // A later run of the server may have registered under the same identity.
         if self.by_id.get(&server.id) == Some(&key) {
             self.by_id.remove(&server.id);
         }
--- a/crates/thornbridge-core/src/gateway/servers/registering.rs
+++ b/crates/thornbridge-core/src/gateway/servers/registering.rs
@@ -1,4 +1,4 @@
-//! Instances that register, start again under their identity, leave or vanish.
+//! Registry changes: instances that register, restart, drain or vanish.
 
 use super::server::{Availability, Server};
 use super::{ServerKey, Servers};
@@ -10,7 +10,7 @@
 use thornbridge_proto::peer::view::{Instance, InstanceState, StoreRevision};
 
 impl Servers {
-    /// An instance is registered, or its entry changed.
+    /// Applies a new or changed registry entry.
     pub(in crate::gateway) fn present(
         &mut self,
         now: Timestamp,
@@ -23,7 +23,7 @@
             InstanceState::Ready => Availability::Ready,
             InstanceState::Draining | InstanceState::Held => Availability::Draining,
         };
-        let known = self.run_of(actions, instance, revision, origin);
+        let known = self.find_run(actions, instance, revision, origin);
         let key = known.unwrap_or_else(|| self.add(now, instance));
         let Some(server) = self.servers.get_mut(&key) else {
             return;
@@ -43,9 +43,11 @@
         self.close_idle_if_leaving(actions, key);
     }
 
-    /// The server of an entry, where it is known and has not started again since. The run before it holds
-    /// nothing any more: requests that wait for it go elsewhere, its connections and speeds are forgotten.
-    fn run_of(
+    /// The known server of an entry; `None` if it is new or restarted.
+    ///
+    /// The server of an earlier run is marked as gone, so that its queued parts move to other servers
+    /// and its connections and statistics are dropped.
+    fn find_run(
         &mut self,
         actions: &mut VecDeque<GatewayAction>,
         instance: &Instance,
@@ -54,7 +56,7 @@
     ) -> Option<ServerKey> {
         let key = self.by_id.get(&instance.id).copied()?;
         let server = self.servers.get_mut(&key)?;
-        if server.is_run(instance) {
+        if server.is_same_run(instance) {
             return Some(key);
         }
         server.availability = Availability::Gone;
@@ -72,7 +74,9 @@
         None
     }
 
-    /// An instance's entry is gone; it was there when the store last confirmed this node's views.
+    /// Applies the removal of a registry entry.
+    ///
+    /// `confirmed` is when the store last confirmed this node's views, which still held the entry.
     pub(in crate::gateway) fn departed(
         &mut self,
         now: Timestamp,
@@ -85,9 +89,9 @@
         let Some(key) = self.by_id.get(id).copied() else {
             return;
         };
-        // It may have left long before this node heard of it.
-        let known = confirmed.unwrap_or(now) + self.parameters.vanished_unconfirmed;
-        let until = known.min(now + self.parameters.vanished_grace);
+        // The entry may have been removed any time after the last confirmation.
+        let latest = confirmed.unwrap_or(now) + self.parameters.vanished_unconfirmed;
+        let until = latest.min(now + self.parameters.vanished_grace);
         let Some(server) = self.servers.get_mut(&key) else {
             return;
         };
--- a/crates/thornbridge-core/src/gateway/servers/rejections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/rejections.rs
@@ -1,30 +1,30 @@
-//! The share of its requests that a server rejects.
+//! Rejection rate of a server.
 //!
-//! Guards against a server that works at a part of its requests only while its health is good: each
-//! rejection costs a part one of the few attempts that it has.
+//! Guards against a server that reports good health but rejects some of its requests: each rejection
+//! uses up one of a part's few attempts.
 
-use super::server::half_life;
+use super::server::decay_factor;
 use crate::gateway::parameters::ServerParameters;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Share of the latest answers that were rejections, decaying, at a time.
+/// Exponentially weighted share of rejections among a server's answers.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::gateway) struct Rejections {
     share: f64,
-    at: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl Rejections {
-    /// None seen.
-    pub(super) fn none(now: Timestamp) -> Self {
+    /// A rejection rate of zero.
+    pub(super) fn new(now: Timestamp) -> Self {
         Self {
             share: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// The server took a request, or rejected it.
+    /// Records whether the server rejected a request.
     pub(in crate::gateway) fn observe(
         &mut self,
         parameters: &ServerParameters,
@@ -34,10 +34,10 @@
         let observed = f64::from(u8::from(rejected));
         let share = self.share(parameters, now);
         self.share = share + (observed - share) * parameters.rejection_weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// Cost of an attempt that may be rejected.
+    /// Penalty in server selection for the risk of a rejection.
     pub(super) fn cost(&self, parameters: &ServerParameters, now: Timestamp) -> Duration {
         if self.share == 0.0 {
             return Duration::ZERO;
@@ -48,6 +48,6 @@
     }
 
     fn share(&self, parameters: &ServerParameters, now: Timestamp) -> f64 {
-        self.share * half_life(now.since(self.at), parameters.rejection_half_life)
+        self.share * decay_factor(now.since(self.updated_at), parameters.rejection_half_life)
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/scarcity.rs
+++ b/crates/thornbridge-core/src/gateway/servers/scarcity.rs
@@ -1,10 +1,11 @@
-//! Whether servers refuse connections because they have too many.
+//! Detection of servers that refuse connections because they are at their connection limit.
 //!
-//! A server accepts a connection and resets it at once where it has too many, as after machines lost
-//! power: it keeps theirs for a while. Two things follow while that is seen. A fresh connection is
-//! proved before it carries anything: the reset arrives one round trip after it opened, and a
-//! request that was written by then may have run. And connections are kept for a moment only after
-//! use, so that all nodes share the few that there are.
+//! A server over its limit accepts a connection and resets it at once, for example while it still
+//! holds connections of machines that lost power. While refusals are seen:
+//!
+//! - A fresh connection is on probation before it carries a request: the reset arrives one round
+//!   trip after opening, and a request written by then may have run.
+//! - Idle connections are closed soon after use, so that all nodes share the available ones.
 
 use crate::driver_action::ConnectionId;
 use crate::gateway::notes::GatewayChange;
@@ -13,30 +14,30 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Steps in which refusals are counted.
-const STEPS: u32 = 20;
-/// Refusals in the window below which connections are not scarce.
-const LEAST_REFUSALS: u64 = 5;
-/// Connections opened for one refused, above which connections are not scarce.
-const OPENED_FOR_ONE_REFUSED: u64 = 5;
+/// Steps of the window in which connections are counted.
+const WINDOW_STEPS: u32 = 20;
+/// Least number of refusals in the window for connections to count as scarce.
+const MIN_REFUSALS: u64 = 5;
+/// Highest ratio of opened to refused connections at which connections count as scarce.
+const MAX_OPENED_PER_REFUSAL: u64 = 5;
 
-/// Connections that were opened and refused lately, and those that are being proved.
+/// Recently opened and refused connections, and connections on probation.
 #[derive(Debug)]
 pub(super) struct Scarcity {
     opened: SumWindow,
     refused: SumWindow,
-    proving: BTreeSet<(Timestamp, ConnectionId)>,
-    told: bool,
+    on_probation: BTreeSet<(Timestamp, ConnectionId)>,
+    last_reported: bool,
 }
 
 impl Scarcity {
     pub(super) fn new(window: Duration) -> Self {
-        let step = window / STEPS;
+        let step = window / WINDOW_STEPS;
         Self {
-            opened: SumWindow::new(step, STEPS),
-            refused: SumWindow::new(step, STEPS),
-            proving: BTreeSet::new(),
-            told: false,
+            opened: SumWindow::new(step, WINDOW_STEPS),
+            refused: SumWindow::new(step, WINDOW_STEPS),
+            on_probation: BTreeSet::new(),
+            last_reported: false,
         }
     }
 
@@ -48,24 +49,24 @@
         self.refused.add(now, 1);
     }
 
-    /// Whether any server refused a connection lately.
-    pub(super) fn refusals_seen(&mut self, now: Timestamp) -> bool {
+    /// Whether any server refused a connection within the window.
+    pub(super) fn has_refusals(&mut self, now: Timestamp) -> bool {
         self.refused.sum(now) > 0
     }
 
-    /// Whether servers refuse a good part of the connections.
+    /// Whether servers refuse a large share of the connections.
     pub(super) fn is_scarce(&mut self, now: Timestamp) -> bool {
         let refused = self.refused.sum(now);
-        refused >= LEAST_REFUSALS && refused * OPENED_FOR_ONE_REFUSED >= self.opened.sum(now)
+        refused >= MIN_REFUSALS && refused * MAX_OPENED_PER_REFUSAL >= self.opened.sum(now)
     }
 
-    /// The change since it was last asked for, for the log.
-    pub(super) fn change(&mut self, now: Timestamp) -> Option<GatewayChange> {
+    /// The change since the last call, for the log.
+    pub(super) fn take_change(&mut self, now: Timestamp) -> Option<GatewayChange> {
         let scarce = self.is_scarce(now);
-        if scarce == self.told {
+        if scarce == self.last_reported {
             return None;
         }
-        self.told = scarce;
+        self.last_reported = scarce;
         Some(GatewayChange::Scarcity {
             scarce,
             refused: self.refused.sum(now),
@@ -73,26 +74,26 @@
         })
     }
 
-    pub(super) fn prove(&mut self, connection: ConnectionId, until: Timestamp) {
-        self.proving.insert((until, connection));
+    pub(super) fn begin_probation(&mut self, connection: ConnectionId, until: Timestamp) {
+        self.on_probation.insert((until, connection));
     }
 
-    pub(super) fn forget(&mut self, connection: ConnectionId, until: Timestamp) {
-        self.proving.remove(&(until, connection));
+    pub(super) fn cancel_probation(&mut self, connection: ConnectionId, until: Timestamp) {
+        self.on_probation.remove(&(until, connection));
     }
 
-    /// When the next connection is proved.
+    /// End of the next probation.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        self.proving.first().map(|(until, _)| *until)
+        self.on_probation.first().map(|(until, _)| *until)
     }
 
-    /// A connection that is proved by now.
-    pub(super) fn next_proved(&mut self, now: Timestamp) -> Option<ConnectionId> {
-        let (until, connection) = self.proving.first().copied()?;
+    /// Removes and returns a connection whose probation is over.
+    pub(super) fn pop_ended_probation(&mut self, now: Timestamp) -> Option<ConnectionId> {
+        let (until, connection) = self.on_probation.first().copied()?;
         if until > now {
             return None;
         }
-        self.proving.pop_first();
+        self.on_probation.pop_first();
         Some(connection)
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -1,4 +1,4 @@
-//! One server: what is known of it, and what is on its way to it.
+//! State of one server: registration, statistics, connections and in-flight attempts.
 
 use super::queue::WaitingQueue;
 use super::rejections::Rejections;
@@ -12,21 +12,21 @@
 use thornbridge_proto::peer::view::Instance;
 use thornbridge_proto::{AttemptId, BackEndId, ServiceName, ZoneName};
 
-/// Most that one observation changes the logarithm of a speed: a single pause is no slow server,
-/// two slow answers in a row are.
+/// Largest change of the logarithm of a slowdown by one observation. One slow answer may be a pause;
+/// two in a row indicate a slow server.
 const SPEED_STEP: f64 = 0.7;
-/// Slowest and fastest speed that is believed, as a factor on the usual work.
+/// Range to which observed slowdowns are clamped.
 const SPEED_RANGE: (f64, f64) = (0.2, 8.0);
-/// Extra work of a server that has just started, as a share.
-const COLD_SHARE: f64 = 0.5;
-/// Age after which a load report says nothing any more.
-const LOAD_LIFETIME: Duration = Duration::from_secs(1);
-/// Refusals in a row beyond which the pause does not grow.
-const MOST_DOUBLINGS: u32 = 8;
-/// Weight of an opening time that is longer than the least one seen.
+/// Slowdown added for a server that has just started.
+const COLD_START_SLOWDOWN: f64 = 0.5;
+/// Age at which a load report is disregarded; its weight decreases linearly until then.
+const LOAD_REPORT_LIFETIME: Duration = Duration::from_secs(1);
+/// Bound on the doublings of the reconnect backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// Weight of a connect time that is longer than the current estimate of the round trip.
 const ROUND_TRIP_WEIGHT: f64 = 0.1;
 
-/// How far a server is.
+/// Distance of a server from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(in crate::gateway) enum Distance {
     SameZone,
@@ -35,8 +35,8 @@
 }
 
 impl Distance {
-    /// Round trip before one was seen.
-    fn usual_round_trip(self) -> Duration {
+    /// Round trip assumed before any was measured.
+    fn default_round_trip(self) -> Duration {
         match self {
             Self::SameZone => Duration::from_micros(500),
             Self::SameRegion => Duration::from_millis(2),
@@ -45,19 +45,19 @@
     }
 }
 
-/// Whether a server may get requests.
+/// State of a server's registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum Availability {
     /// Takes requests.
     Ready,
-    /// Its entry is gone, without notice: a last choice until then.
+    /// Registry entry removed without draining; used only as a last resort.
     Vanished {
-        /// End of that.
+        /// End of the grace period.
         until: Timestamp,
     },
-    /// Said that it leaves: nothing new.
+    /// Leaving; takes no new requests.
     Draining,
-    /// Gone.
+    /// Left, or replaced by a later run.
     Gone,
 }
 
@@ -73,29 +73,30 @@
     }
 }
 
-/// An attempt that has not ended.
+/// An in-flight attempt.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::gateway) struct Outstanding {
     pub(in crate::gateway) attempt: AttemptId,
-    pub(in crate::gateway) sent: Timestamp,
-    /// Time that it is expected to take.
+    pub(in crate::gateway) sent_at: Timestamp,
+    /// Expected time to the answer.
     pub(in crate::gateway) expected: Duration,
 }
 
-/// A connection that rests.
+/// An open connection without an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::gateway) struct Resting {
+pub(in crate::gateway) struct IdleConnection {
     pub(in crate::gateway) connection: ConnectionId,
-    /// Since when: it was sound then.
+    /// When the connection became idle, and was last known to work.
     pub(in crate::gateway) since: Timestamp,
-    pub(in crate::gateway) until: Timestamp,
+    /// When the connection is closed unless it is used.
+    pub(in crate::gateway) expires_at: Timestamp,
 }
 
-/// One server.
+/// A server of a service.
 #[derive(Debug)]
 pub(in crate::gateway) struct Server {
     pub(in crate::gateway) id: BackEndId,
-    /// When its run started, in Unix milliseconds; 0 where it does not say.
+    /// Start of the server process, in Unix milliseconds; 0 if unknown.
     born_ms: u64,
     pub(in crate::gateway) service: ServiceKey,
     pub(in crate::gateway) service_name: ServiceName,
@@ -104,26 +105,26 @@
     pub(in crate::gateway) distance: Distance,
     pub(in crate::gateway) slots: u32,
     pub(in crate::gateway) availability: Availability,
-    /// Whether the operator wants nothing to be sent to its zone.
+    /// Whether the server's zone is evacuated.
     pub(super) evacuated: bool,
-    /// Whether this node is one of those that keep a connection to it.
-    pub(in crate::gateway) assigned: bool,
-    /// Whether a connection is to be opened ahead of use: not after one that was not used.
-    pub(in crate::gateway) wanted: bool,
+    /// Whether the server is in the subset that this node connects to.
+    pub(in crate::gateway) in_subset: bool,
+    /// Whether to connect ahead of use; cleared when the last connection expired unused.
+    pub(in crate::gateway) preconnect: bool,
     pub(in crate::gateway) outstanding: Vec<Outstanding>,
     pub(in crate::gateway) waiting: WaitingQueue,
-    pub(in crate::gateway) resting: Vec<Resting>,
+    pub(in crate::gateway) resting: Vec<IdleConnection>,
     pub(in crate::gateway) open: u32,
     pub(in crate::gateway) opening: u32,
-    pub(in crate::gateway) connect_after: Timestamp,
-    /// Connections in a row that were not opened, or closed before they carried an answer.
-    pub(super) refusals: u32,
+    pub(in crate::gateway) reconnect_at: Timestamp,
+    /// Consecutive connections that could not be opened or were closed before they carried an answer.
+    pub(super) consecutive_refusals: u32,
     pub(in crate::gateway) avoided: bool,
     cold_until: Timestamp,
     round_trip: Option<Duration>,
-    /// Logarithm of its work over the usual, at a time.
+    /// Logarithm of the slowdown, and when it was updated.
     speed: (f64, Timestamp),
-    /// Cost of its failures in seconds, at a time.
+    /// Decaying failure cost in seconds, and when it was updated.
     failures: (f64, Timestamp),
     pub(in crate::gateway) rejections: Rejections,
     load: Option<(ServerLoad, Timestamp)>,
@@ -147,32 +148,33 @@
             slots: instance.slots.max(1),
             availability: Availability::Ready,
             evacuated: false,
-            assigned: false,
-            wanted: true,
+            in_subset: false,
+            preconnect: true,
             outstanding: Vec::new(),
             waiting: WaitingQueue::default(),
             resting: Vec::new(),
             open: 0,
             opening: 0,
-            connect_after: now,
-            refusals: 0,
+            reconnect_at: now,
+            consecutive_refusals: 0,
             avoided: false,
             cold_until: now + Duration::from_millis(u64::from(instance.cold_milliseconds)),
             round_trip: None,
             speed: (0.0, now),
             failures: (0.0, now),
-            rejections: Rejections::none(now),
+            rejections: Rejections::new(now),
             load: None,
         }
     }
 
-    /// Whether an entry is of this run of the server. One that does not say when it started is.
-    pub(super) fn is_run(&self, instance: &Instance) -> bool {
+    /// Whether a registry entry is of the same run of the server. Entries without a start time are
+    /// taken as such.
+    pub(super) fn is_same_run(&self, instance: &Instance) -> bool {
         let unknown = self.born_ms == 0 || instance.born_ms == 0;
         unknown || self.born_ms == instance.born_ms
     }
 
-    /// Identity of this run, which no other has.
+    /// Identity of this run of the server, distinct from other runs of the same instance.
     pub(in crate::gateway) fn run_id(&self) -> BackEndId {
         match self.born_ms {
             0 => self.id.clone(),
@@ -180,12 +182,12 @@
         }
     }
 
-    /// Whether it may get requests, if only as a last choice.
+    /// Whether the server may get new requests, if only as a last resort.
     pub(in crate::gateway) fn takes_requests(&self) -> bool {
         !self.evacuated && !self.is_leaving()
     }
 
-    /// Whether it said that it leaves, or is gone.
+    /// Whether the server is draining or gone.
     pub(super) fn is_leaving(&self) -> bool {
         matches!(
             self.availability,
@@ -193,28 +195,29 @@
         )
     }
 
-    /// It is slow until then.
-    pub(super) fn is_cold_until(&mut self, until: Timestamp) {
+    /// Treats the server as cold at least until the given time.
+    pub(super) fn extend_cold_start(&mut self, until: Timestamp) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    pub(super) fn vanishes_at(&self) -> Option<Timestamp> {
+    /// End of the grace period of a vanished server.
+    pub(super) fn vanished_until(&self) -> Option<Timestamp> {
         match self.availability {
             Availability::Vanished { until } => Some(until),
             _ => None,
         }
     }
 
-    /// Round trip to it.
+    /// Estimated round trip to the server.
     pub(in crate::gateway) fn round_trip(&self) -> Duration {
         self.round_trip
-            .unwrap_or_else(|| self.distance.usual_round_trip())
+            .unwrap_or_else(|| self.distance.default_round_trip())
     }
 
-    /// A connection opened in this time.
+    /// Updates the round trip by the time that a connection took to open.
     pub(super) fn observe_round_trip(&mut self, took: Duration) {
         let known = self.round_trip.unwrap_or(took);
-        // The least one seen is the way itself; longer ones hold this node's own delays.
+        // The minimum is the network's round trip; longer times include delays in this node.
         self.round_trip = Some(if took < known {
             took
         } else {
@@ -223,19 +226,19 @@
         });
     }
 
-    /// Its work over the usual.
+    /// Expected ratio of the server's processing time to the usual one; 2.0 is twice as slow.
     pub(in crate::gateway) fn speed(&self, parameters: &ServerParameters, now: Timestamp) -> f64 {
         let (speed, at) = self.speed;
-        let decayed = speed * half_life(now.since(at), parameters.speed_half_life);
+        let decayed = speed * decay_factor(now.since(at), parameters.speed_half_life);
         let cold = if now < self.cold_until {
-            COLD_SHARE
+            COLD_START_SLOWDOWN
         } else {
             0.0
         };
         decayed.exp() + cold
     }
 
-    /// It took `work` where `usual` is usual.
+    /// Records a processing time of `work` for a request that usually takes `usual`.
     pub(in crate::gateway) fn observe_speed(
         &mut self,
         parameters: &ServerParameters,
@@ -250,15 +253,15 @@
         let observed = ratio.clamp(SPEED_RANGE.0, SPEED_RANGE.1).ln();
         let (speed, at) = self.speed;
         let age = now.since(at);
-        let decayed = speed * half_life(age, parameters.speed_half_life);
-        // The longer nothing was observed, the more the newest observation says.
+        let decayed = speed * decay_factor(age, parameters.speed_half_life);
+        // The weight of an observation grows with the time since the previous one.
         let intervals = age.as_secs_f64() / parameters.speed_interval.as_secs_f64();
         let weight = 1.0 - (1.0 - parameters.speed_weight).powf(intervals.max(1.0));
         let step = ((observed - decayed) * weight).clamp(-SPEED_STEP, SPEED_STEP);
         self.speed = (decayed + step, now);
     }
 
-    /// It failed in a way that costs this much.
+    /// Adds a failure cost.
     pub(in crate::gateway) fn failed(
         &mut self,
         parameters: &ServerParameters,
@@ -269,30 +272,31 @@
         self.failures = (before + cost.as_secs_f64(), now);
     }
 
-    /// It refused a connection, or closed one before it carried an answer.
+    /// Records a connection that was refused or closed before it carried an answer; doubles the
+    /// backoff from `first` up to `longest`.
     pub(super) fn connection_refused(
         &mut self,
         now: Timestamp,
         first: Duration,
         longest: Duration,
     ) {
-        let doublings = self.refusals.min(MOST_DOUBLINGS);
-        self.refusals += 1;
-        let pause = first * 2_u32.pow(doublings);
-        self.connect_after = now + pause.min(longest);
+        let doublings = self.consecutive_refusals.min(MAX_BACKOFF_DOUBLINGS);
+        self.consecutive_refusals += 1;
+        let backoff = first * 2_u32.pow(doublings);
+        self.reconnect_at = now + backoff.min(longest);
     }
 
-    /// Cost of its failures as they are remembered.
+    /// Decayed cost of the server's failures.
     pub(in crate::gateway) fn failure_cost(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> Duration {
         let (cost, at) = self.failures;
-        Duration::from_secs_f64(cost * half_life(now.since(at), parameters.failure_half_life))
+        Duration::from_secs_f64(cost * decay_factor(now.since(at), parameters.failure_half_life))
     }
 
-    /// An attempt was sent to it.
+    /// Records an attempt that was sent to the server.
     pub(in crate::gateway) fn sent(
         &mut self,
         now: Timestamp,
@@ -301,81 +305,85 @@
     ) {
         self.outstanding.push(Outstanding {
             attempt,
-            sent: now,
+            sent_at: now,
             expected,
         });
     }
 
-    /// An attempt at it ended.
+    /// Records the end of an attempt.
     pub(in crate::gateway) fn ended(&mut self, attempt: AttemptId) {
         self.outstanding.retain(|other| other.attempt != attempt);
     }
 
-    /// It told its load.
+    /// Records a load report of the server.
     pub(in crate::gateway) fn loaded(&mut self, now: Timestamp, load: ServerLoad) {
         self.load = Some((load, now));
     }
 
-    /// Requests beyond those that it works on at once for this node (`lanes`), of this node and,
-    /// where it told, of others.
-    pub(super) fn queue(&self, now: Timestamp, lanes: u32) -> f64 {
+    /// Estimated queue length at the server: requests beyond those that it processes concurrently.
+    ///
+    /// The maximum of this node's own requests beyond `concurrency` and, if the server reported its
+    /// load recently, of all nodes' requests beyond its slots.
+    pub(super) fn queue(&self, now: Timestamp, concurrency: u32) -> f64 {
         let own = (self.outstanding.len() + self.waiting.len()) as f64;
         let reported = self
             .load
-            .filter(|(_, at)| now.since(*at) < LOAD_LIFETIME)
+            .filter(|(_, at)| now.since(*at) < LOAD_REPORT_LIFETIME)
             .map_or(0.0, |(load, at)| {
-                let freshness = 1.0 - now.since(at).as_secs_f64() / LOAD_LIFETIME.as_secs_f64();
+                let freshness =
+                    1.0 - now.since(at).as_secs_f64() / LOAD_REPORT_LIFETIME.as_secs_f64();
                 f64::from(load.running.saturating_sub(1) + load.waiting) * freshness
             });
-        let own = (own + 1.0 - f64::from(lanes)).max(0.0);
+        let own = (own + 1.0 - f64::from(concurrency)).max(0.0);
         let reported = (reported + 1.0 - f64::from(self.slots)).max(0.0);
         own.max(reported)
     }
 
-    /// Attempts that have been silent for so long that their connections may be dead.
-    fn unanswered(
+    /// Attempts that are overdue for so long that their connections may be dead.
+    fn overdue_attempts(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> impl Iterator<Item = &Outstanding> {
         self.outstanding.iter().filter(move |attempt| {
             let usual = attempt.expected.mul_f64(parameters.silence_factor);
-            let patience = (usual + parameters.silence_margin).max(parameters.dead_connection);
-            now.since(attempt.sent) > patience
+            let limit = (usual + parameters.silence_margin).max(parameters.dead_connection);
+            now.since(attempt.sent_at) > limit
         })
     }
 
-    /// Connections that may carry a request yet, the resting ones included.
+    /// Open connections, idle ones included, without those that may be dead.
     pub(super) fn live_connections(&self, parameters: &ServerParameters, now: Timestamp) -> u32 {
-        let dead = self.unanswered(parameters, now).count() as u32;
+        let dead = self.overdue_attempts(parameters, now).count() as u32;
         self.open.saturating_sub(dead)
     }
 
-    /// Whether a resting connection may be dead: it was last sound before an attempt that is silent
-    /// was sent, so that what silenced that one may have silenced it, too.
+    /// Whether an idle connection may be dead: it has been idle since before an attempt was sent whose
+    /// connection may be dead, so that the same fault may have affected both.
     pub(super) fn may_be_dead(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
-        resting: &Resting,
+        resting: &IdleConnection,
     ) -> bool {
-        let mut unanswered = self.unanswered(parameters, now);
-        unanswered.any(|attempt| resting.since <= attempt.sent)
+        let mut overdue = self.overdue_attempts(parameters, now);
+        overdue.any(|attempt| resting.since <= attempt.sent_at)
     }
 
-    /// Whether an attempt there is silent for longer than it should be.
+    /// Whether an attempt at the server is overdue.
     pub(in crate::gateway) fn is_silent(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> bool {
         self.outstanding.iter().any(|attempt| {
-            let patience = attempt.expected.mul_f64(parameters.silence_factor);
-            now.since(attempt.sent) > patience + parameters.silence_margin
+            let limit = attempt.expected.mul_f64(parameters.silence_factor);
+            now.since(attempt.sent_at) > limit + parameters.silence_margin
         })
     }
 }
 
-pub(super) fn half_life(age: Duration, half_life: Duration) -> f64 {
+/// Factor by which a value with the given half-life has decayed.
+pub(super) fn decay_factor(age: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(age.as_secs_f64() / half_life.as_secs_f64().max(1e-6))
 }
--- a/crates/thornbridge-core/src/gateway/servers/subset.rs
+++ b/crates/thornbridge-core/src/gateway/servers/subset.rs
@@ -1,13 +1,12 @@
-//! Which servers of a service this node keeps connections to.
+//! Deterministic subsetting: which servers of a service this node connects to.
 //!
-//! Guards against more nodes than a server takes connections: where not every node can have one,
-//! each server is given to as many nodes as it bears, and each node to as many replicas of a shard
-//! as are left for it. Every node computes the same assignment from the same member list, without
-//! a message ([`crate::routing::subset`]). A node is known by its address, so that one that starts
-//! again gets what it had.
+//! Guards against more nodes than a server accepts connections: if not every node can have one,
+//! each server is assigned to as many nodes as its limit allows. Every node computes the same
+//! assignment from the same member list, without messages ([`crate::routing::subset`]). Nodes are
+//! identified by address, so that a restarted node gets the same subset.
 //!
-//! Until the member list has settled a node keeps one server of each service: all nodes may be
-//! starting at once.
+//! Until the member list has settled after startup, a node connects to one server of each service,
+//! since all nodes may be starting at once.
 
 use super::{Placement, ServerKey, Servers};
 use crate::gateway::budget::ServiceKey;
@@ -20,61 +19,61 @@
 use std::time::Duration;
 use thornbridge_proto::{BackEndId, NodeId, ZoneName};
 
-/// Pairs of node and server weighed in one go: about a millisecond.
+/// Pairs of node and server evaluated in one step.
 const PAIRS_PER_STEP: usize = 20_000;
-/// More nodes than there can be.
-const MANY_NODES: u32 = 1 << 20;
-/// Time after a start in which the member list still grows.
-const LISTING: Duration = Duration::from_millis(1_000);
+/// Number of nodes assumed until the member list has settled; more than a cluster has.
+const UNSETTLED_NODE_COUNT: u32 = 1 << 20;
+/// Time after startup in which the member list still grows.
+const MEMBER_LIST_SETTLING: Duration = Duration::from_millis(1_000);
 
-/// A member that shares the servers' connections.
+/// Address and zone of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Sharer {
     pub(in crate::gateway) address: SocketAddr,
     pub(in crate::gateway) zone: ZoneName,
 }
 
-/// Who shares the connections, and which services' assignments are out of date.
+/// Members that share the servers' connections, and services whose assignment is out of date.
 #[derive(Debug)]
 pub(super) struct Subset {
     own: NodeId,
     own_zone: ZoneName,
     nodes: Vec<SubsetNode>,
-    stale: BTreeSet<ServiceKey>,
+    stale_services: BTreeSet<ServiceKey>,
     settled: bool,
 }
 
 impl Subset {
     pub(super) fn new(own: SocketAddr, placement: &Placement) -> Self {
-        let own = identity(own);
+        let own = stable_node_id(own);
         Self {
             own,
             own_zone: placement.zone.clone(),
             nodes: vec![SubsetNode::new(own, placement.zone.clone())],
-            stale: BTreeSet::new(),
+            stale_services: BTreeSet::new(),
             settled: false,
         }
     }
 
-    /// Place of a server in an order of this node's own, so that nodes begin with different ones.
-    pub(super) fn order_of(&self, server: &BackEndId) -> u64 {
+    /// Rank of a server in an order specific to this node, so that nodes connect to different ones.
+    pub(super) fn rendezvous_rank(&self, server: &BackEndId) -> u64 {
         pair_hash(self.own.0, server_hash(server.as_str()))
     }
 
-    /// A server of the service came or went.
+    /// Marks the assignment of a service as out of date.
     pub(super) fn invalidate(&mut self, service: ServiceKey) {
-        self.stale.insert(service);
+        self.stale_services.insert(service);
     }
 }
 
 impl Servers {
-    /// Members, this node included, that share the servers' connections.
+    /// Sets the members, this node included, that share the servers' connections.
     pub(in crate::gateway) fn set_sharers(&mut self, now: Timestamp, sharers: Vec<Sharer>) {
         self.members.observe(now, sharers.len().max(1) as u64);
         let own = self.subset.own;
         let mut nodes: Vec<SubsetNode> = sharers
             .into_iter()
-            .map(|sharer| SubsetNode::new(identity(sharer.address), sharer.zone))
+            .map(|sharer| SubsetNode::new(stable_node_id(sharer.address), sharer.zone))
             .collect();
         if !nodes.iter().any(|node| node.node == own) {
             nodes.push(SubsetNode::new(own, self.subset.own_zone.clone()));
@@ -83,23 +82,23 @@
         self.invalidate_all();
     }
 
-    /// Computes assignments that are out of date; a bounded number of them.
+    /// Recomputes outdated assignments, up to a bound of work per call.
     pub(super) fn reassign(&mut self, now: Timestamp) {
-        let settled = now.since_epoch() >= LISTING;
+        let settled = now.since_epoch() >= MEMBER_LIST_SETTLING;
         if settled != self.subset.settled {
             self.subset.settled = settled;
             self.invalidate_all();
         }
-        let mut weighed = 0;
-        while weighed < PAIRS_PER_STEP {
-            let Some(service) = self.subset.stale.pop_first() else {
+        let mut evaluated = 0;
+        while evaluated < PAIRS_PER_STEP {
+            let Some(service) = self.subset.stale_services.pop_first() else {
                 return;
             };
-            weighed += self.reassign_service(now, service);
+            evaluated += self.reassign_service(now, service);
         }
     }
 
-    /// Gives the number of pairs weighed.
+    /// Recomputes the assignment of a service; returns the number of pairs evaluated.
     fn reassign_service(&mut self, now: Timestamp, service: ServiceKey) -> usize {
         let entry = &self.services[service.0 as usize];
         let Some(limit) = entry.connections else {
@@ -117,13 +116,13 @@
         };
         for (key, share) in keys.iter().zip(shares) {
             if let Some(server) = self.servers.get_mut(key) {
-                server.assigned = share > 0;
+                server.in_subset = share > 0;
             }
         }
         1 + keys.len() * self.subset.nodes.len()
     }
 
-    /// This node's connections to each of these servers.
+    /// Number of connections of this node to each of the servers.
     fn shares(&mut self, now: Timestamp, keys: &[ServerKey], limit: u32) -> Vec<u32> {
         let topology = Topology {
             servers: keys
@@ -138,9 +137,9 @@
             groups: vec![(0..keys.len() as u32).collect()],
         };
         let settled = self.subset.settled;
-        let sharers = match settled {
+        let node_count = match settled {
             true => self.members.maximum(now) as u32,
-            false => MANY_NODES,
+            false => UNSETTLED_NODE_COUNT,
         };
         let replicas_wanted = match settled {
             true => self.parameters.replicas_wanted,
@@ -152,18 +151,18 @@
             ..SubsetParameters::default()
         };
         let nodes = self.subset.nodes.clone();
-        let mut build = SubsetBuild::new(parameters, topology, nodes, sharers);
+        let mut build = SubsetBuild::new(parameters, topology, nodes, node_count);
         while !build.advance(PAIRS_PER_STEP) {}
         build.shares(self.subset.own)
     }
 
     fn invalidate_all(&mut self) {
         let services = 0..self.services.len() as u32;
-        self.subset.stale = services.map(ServiceKey).collect();
+        self.subset.stale_services = services.map(ServiceKey).collect();
     }
 }
 
-/// A node's identity over its restarts.
-fn identity(address: SocketAddr) -> NodeId {
+/// Identity of a node that is stable across restarts.
+fn stable_node_id(address: SocketAddr) -> NodeId {
     NodeId(server_hash(&address.to_string()))
 }
