--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_viewing.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use super::action::GatewayAction;
 use super::notes::ViewOrigin;
-use super::views::era::is_plausible;
+use super::views::era::is_plausible_era;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thornbridge_config::routes::RouteConfiguration;
@@ -39,9 +39,10 @@
             ViewMessage::Digest { digest, age_ms } => {
                 let age = Duration::from_millis(u64::from(age_ms));
                 let own = self.view_age();
-                self.freshness.heard(self.now, own.digest, digest, age);
+                self.freshness
+                    .record_peer_digest(self.now, own.digest, digest, age);
                 self.peer_views
-                    .digest(self.now, &mut self.actions, peer, digest, age, own);
+                    .handle_digest(self.now, &mut self.actions, peer, digest, age, own);
             }
             ViewMessage::Pull(theirs) => self.pulled(peer, theirs),
             ViewMessage::Configuration { encoded, .. } => self.peer_configuration(peer, &encoded),
@@ -52,7 +53,7 @@
 
     /// An era that a message claims and the store cannot be in.
     fn implausible_era(&self, message: &ViewMessage) -> Option<u64> {
-        let told = match message {
+        let era = match message {
             ViewMessage::Digest { digest, .. } | ViewMessage::Pull(digest) => {
                 digest.registry.era.max(digest.evacuations.era)
             }
@@ -61,7 +62,7 @@
             ViewMessage::Configuration { .. } => return None,
         };
         let known = self.registry.upto().map(|upto| upto.era);
-        (!is_plausible(known, told)).then_some(told)
+        (!is_plausible_era(known, era)).then_some(era)
     }
 
     pub(super) fn pulled(&mut self, peer: SocketAddr, theirs: ViewDigest) {
@@ -109,7 +110,7 @@
 
     pub(super) fn peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
         let before = self.registry.upto();
-        let changes = self.registry.take_delta(self.now, delta);
+        let changes = self.registry.apply_delta(self.now, delta);
         let changed = !changes.is_empty();
         self.registry_learnt(before, changes, ViewOrigin::Peer);
         if changed {
--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -59,10 +59,10 @@
     let listed = ["stays", "drains", "goes"].map(|id| ready(at(1, 50), id));
     registry.replace(Timestamp::ZERO, listed.to_vec(), at(1, 90));
     let (revision, drains) = entry(at(1, 95), "drains", InstanceState::Draining);
-    registry.present(revision, drains);
+    registry.upsert(revision, drains);
     let gone = BackEndId::new("goes");
-    registry.departed(Timestamp::ZERO, at(1, 96), at(1, 100), &gone);
-    registry.known_upto(at(1, 100));
+    registry.remove(Timestamp::ZERO, at(1, 96), at(1, 100), &gone);
+    registry.advance_to(at(1, 100));
     registry
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(registry.upto(), Some(at(2, 91)));
     assert_eq!(states(&registry)["new"], InstanceState::Ready);
     let (revision, later) = ready(at(2, 92), "later");
-    assert!(registry.present(revision, later).is_some());
+    assert!(registry.upsert(revision, later).is_some());
 }
 
 #[test]
@@ -103,7 +103,7 @@
     registry.replace(Timestamp::ZERO, copy(), at(2, 90));
     let mut writes = registry.clone();
     let (revision, again) = ready(at(2, 93), "goes");
-    assert!(writes.present(revision, again).is_some());
+    assert!(writes.upsert(revision, again).is_some());
     assert_eq!(states(&writes)["goes"], InstanceState::Ready);
 
     let seconds = |count| Timestamp::ZERO + Duration::from_secs(count);
@@ -143,11 +143,11 @@
             .is_empty()
     );
     let (revision, ghost) = ready(at(1, 401), "ghost");
-    assert!(registry.present(revision, ghost).is_none());
+    assert!(registry.upsert(revision, ghost).is_none());
     let id = BackEndId::new("stays");
     assert!(
         registry
-            .departed(Timestamp::ZERO, at(1, 402), at(1, 402), &id)
+            .remove(Timestamp::ZERO, at(1, 402), at(1, 402), &id)
             .is_none()
     );
     assert_eq!(states(&registry), known);
@@ -159,13 +159,13 @@
     let mut current = registry();
     let mut cut_off = registry();
     let (revision, seen_alone) = ready(at(1, 990), "seen-alone");
-    cut_off.present(revision, seen_alone);
-    cut_off.known_upto(at(1, 1_000));
+    cut_off.upsert(revision, seen_alone);
+    cut_off.advance_to(at(1, 1_000));
     current.replace(Timestamp::ZERO, copy(), at(2, 90));
     assert!(cut_off.delta(current.upto().unwrap()).is_none());
     let delta = current.delta(cut_off.upto().unwrap()).unwrap();
     assert_eq!(delta.since, None);
-    cut_off.take_delta(Timestamp::ZERO, delta);
+    cut_off.apply_delta(Timestamp::ZERO, delta);
     assert_eq!(cut_off.upto(), current.upto());
     assert_eq!(states(&cut_off), states(&current));
 }
@@ -209,7 +209,10 @@
     assert_eq!(tracker.take(&ToldEra::Told(u64::MAX)), Ok((7, false)));
     assert_eq!(tracker.take(&ToldEra::Missing), Ok((7, true)));
     assert_eq!(tracker.take(&ToldEra::Told(8)), Ok((8, true)));
-    let ended = EndedEra { told: 7, known: 8 };
+    let ended = EndedEra {
+        reported: 7,
+        current: 8,
+    };
     assert_eq!(tracker.take(&ToldEra::Told(7)), Err(ended));
     let mut fresh = EraTracker::default();
     assert_eq!(fresh.take(&ToldEra::Told(u64::MAX)), Ok((0, false)));
@@ -428,7 +431,7 @@
                 Step::Pull(from, to) => {
                     let since = replicas[to].upto().unwrap_or_default();
                     if from != to && let Some(delta) = replicas[from].delta(since) {
-                        replicas[to].take_delta(now, delta);
+                        replicas[to].apply_delta(now, delta);
                     }
                 }
             }
--- a/crates/thornbridge-core/src/gateway/tests/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/tests/freshness.rs
@@ -29,15 +29,15 @@
 fn the_first_member_always_reads() {
     let mut freshness = follower(0);
     freshness.confirm(at(5_000));
-    assert!(freshness.must_read(at(5_000)));
+    assert!(freshness.should_read(at(5_000)));
 }
 
 #[test]
 fn a_node_that_nothing_confirmed_reads_within_the_limit() {
-    assert!(!follower(7).must_read(at(0)));
-    assert!(follower(7).must_read(at(1_000)));
+    assert!(!follower(7).should_read(at(0)));
+    assert!(follower(7).should_read(at(1_000)));
     assert_eq!(follower(7).next_timeout(at(0)), Some(at(1_000)));
-    assert!(follower(1).must_read(at(600)));
+    assert!(follower(1).should_read(at(600)));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     for rank in 1..8 {
         let mut freshness = follower(rank);
         freshness.confirm(at(5_000));
-        let reads = |after: &u64| freshness.must_read(at(5_000 + after));
+        let reads = |after: &u64| freshness.should_read(at(5_000 + after));
         let first = (0..2_000).find(reads).expect("it reads at last");
         assert_eq!(freshness.next_timeout(at(5_000)), Some(at(5_000 + first)));
         due.push(first);
@@ -57,32 +57,32 @@
 #[test]
 fn a_peer_that_has_as_much_confirms_with_its_age() {
     let mut freshness = follower(3);
-    freshness.heard(
+    freshness.record_peer_digest(
         at(5_000),
         digest(4, 70),
         digest(4, 70),
         Duration::from_millis(200),
     );
-    assert_eq!(freshness.confirmed(), Some(at(4_800)));
+    assert_eq!(freshness.confirmed_at(), Some(at(4_800)));
 }
 
 #[test]
 fn a_peer_that_has_more_confirms_once_it_was_caught_up_with() {
     let mut freshness = follower(3);
     let age = Duration::from_millis(100);
-    freshness.heard(at(5_000), digest(4, 70), digest(5, 70), age);
-    assert_eq!(freshness.confirmed(), None);
-    freshness.caught_up(digest(4, 90));
-    assert_eq!(freshness.confirmed(), None);
-    freshness.caught_up(digest(5, 90));
-    assert_eq!(freshness.confirmed(), Some(at(4_900)));
+    freshness.record_peer_digest(at(5_000), digest(4, 70), digest(5, 70), age);
+    assert_eq!(freshness.confirmed_at(), None);
+    freshness.confirm_if_caught_up(digest(4, 90));
+    assert_eq!(freshness.confirmed_at(), None);
+    freshness.confirm_if_caught_up(digest(5, 90));
+    assert_eq!(freshness.confirmed_at(), Some(at(4_900)));
 }
 
 #[test]
 fn a_peer_that_the_store_does_not_serve_confirms_nothing() {
     let mut freshness = follower(3);
-    freshness.heard(at(5_000), digest(4, 70), digest(4, 70), Duration::MAX);
-    assert_eq!(freshness.confirmed(), None);
+    freshness.record_peer_digest(at(5_000), digest(4, 70), digest(4, 70), Duration::MAX);
+    assert_eq!(freshness.confirmed_at(), None);
 }
 
 #[test]
@@ -90,6 +90,6 @@
     let mut freshness = follower(3);
     freshness.confirm(at(5_000));
     let age = Duration::from_millis(900);
-    freshness.heard(at(5_100), digest(4, 70), digest(4, 70), age);
-    assert_eq!(freshness.confirmed(), Some(at(5_000)));
+    freshness.record_peer_digest(at(5_100), digest(4, 70), digest(4, 70), age);
+    assert_eq!(freshness.confirmed_at(), Some(at(5_000)));
 }
--- a/crates/thornbridge-core/src/gateway/tests/neighbours.rs
+++ b/crates/thornbridge-core/src/gateway/tests/neighbours.rs
@@ -1,7 +1,7 @@
 //! Which peers are told, asked and polled.
 
 use crate::gateway::servers::Sharer;
-use crate::gateway::views::neighbourhood::{Neighbourhood, polled_by};
+use crate::gateway::views::zone_peers::{ZonePeers, poll_targets};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     let mut of_member: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     let mut crossing = 0;
     for (rank, own) in order.iter().enumerate().skip(1) {
-        let polled = polled_by(own, &order, rank)[0];
+        let polled = poll_targets(own, &order, rank)[0];
         *of_member.entry(polled).or_default() += 1;
         crossing += usize::from(*zone_of[&polled] != own.zone);
     }
@@ -48,7 +48,7 @@
 fn every_member_polls_one_before_it_so_that_polls_end_at_the_reader() {
     let order = members(200);
     for (rank, own) in order.iter().enumerate() {
-        let polled = polled_by(own, &order, rank);
+        let polled = poll_targets(own, &order, rank);
         assert_eq!(polled.is_empty(), rank == 0);
         for address in polled {
             let place = order.iter().position(|member| member.address == address);
@@ -60,25 +60,25 @@
 #[test]
 fn a_node_draws_peers_of_its_zone_and_one_of_each_other() {
     let order = members(60);
-    let peers = Neighbourhood::new(&order[0], order.iter().cloned());
+    let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..20 {
-        let near = peers.any_near(&mut random).unwrap();
-        assert!(peers.is_near(near));
+        let local = peers.any_local(&mut random).unwrap();
+        assert!(peers.is_nearest(local));
     }
-    let others = peers.one_of_each_other_zone(&mut random);
+    let others = peers.one_per_remote_zone(&mut random);
     assert_eq!(others.len(), ZONES - 1);
-    assert!(!others.iter().any(|peer| peers.is_near(*peer)));
+    assert!(!others.iter().any(|peer| peers.is_nearest(*peer)));
 }
 
 #[test]
 fn a_node_alone_in_its_zone_holds_all_for_near() {
     let order = members(3);
-    let peers = Neighbourhood::new(&order[0], order.iter().cloned());
+    let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
-    assert!(peers.is_near(order[1].address));
-    assert!(peers.any_near(&mut random).is_some());
-    let nobody = Neighbourhood::new(&order[0], order[..1].iter().cloned());
+    assert!(peers.is_nearest(order[1].address));
+    assert!(peers.any_local(&mut random).is_some());
+    let nobody = ZonePeers::new(&order[0], order[..1].iter().cloned());
     assert!(nobody.is_empty());
     assert_eq!(nobody.any(&mut random), None);
 }
@@ -95,7 +95,7 @@
             .filter(|member| member.zone != own.zone)
             .cloned()
             .collect();
-        let polled = polled_by(own, &others, others.len());
+        let polled = poll_targets(own, &others, others.len());
         assert!(!polled.is_empty(), "{index}");
     }
 }
--- a/crates/thornbridge-core/src/gateway/tests/registries.rs
+++ b/crates/thornbridge-core/src/gateway/tests/registries.rs
@@ -108,7 +108,7 @@
                 Step::Pull(from, to) => {
                     let since = replicas[to].upto().unwrap_or_default();
                     if from != to && let Some(delta) = replicas[from].delta(since) {
-                        replicas[to].take_delta(now, delta);
+                        replicas[to].apply_delta(now, delta);
                     }
                 }
                 Step::Forget(replica) => replicas[replica].forget(now, std::time::Duration::from_secs(5)),
@@ -132,11 +132,11 @@
         }
         let revision = StoreRevision::without_era(*revision);
         match change {
-            Some(ready) => replica.present(revision, entry(*id, *ready)),
-            None => replica.departed(now, revision, at, &BackEndId::new(format!("i-{id}"))),
+            Some(ready) => replica.upsert(revision, entry(*id, *ready)),
+            None => replica.remove(now, revision, at, &BackEndId::new(format!("i-{id}"))),
         };
     }
-    replica.known_upto(at);
+    replica.advance_to(at);
 }
 
 impl Registry {
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/viewing.rs
@@ -33,7 +33,7 @@
     pub(super) fn view_age(&self) -> ViewAge {
         ViewAge {
             digest: self.digest(),
-            confirmed: self.freshness.confirmed(),
+            confirmed_at: self.freshness.confirmed_at(),
             now: self.now,
         }
     }
@@ -44,9 +44,9 @@
             self.freshness.confirm(oldest);
         }
         let digest = self.digest();
-        self.freshness.caught_up(digest);
+        self.freshness.confirm_if_caught_up(digest);
         let joining = self.joins_through_others && self.now.since_epoch() < JOINING;
-        let following = joining || !self.freshness.must_read(self.now);
+        let following = joining || !self.freshness.should_read(self.now);
         self.tell_reading(!following);
         let (now, actions) = (self.now, &mut self.actions);
         let known = self.registry.upto();
@@ -61,11 +61,11 @@
 
     /// When the store confirmed all views that are read, where it did.
     fn oldest_confirmation(&self) -> Option<Timestamp> {
-        let configuration = self.configuration_source.confirmed()?;
-        let registry = self.registry_source.confirmed()?;
+        let configuration = self.configuration_source.confirmed_at()?;
+        let registry = self.registry_source.confirmed_at()?;
         let oldest = configuration.min(registry);
         match self.parameters.views.evacuations {
-            true => Some(oldest.min(self.evacuation_source.confirmed()?)),
+            true => Some(oldest.min(self.evacuation_source.confirmed_at()?)),
             false => Some(oldest),
         }
     }
@@ -83,11 +83,11 @@
             return;
         }
         self.reads = reads;
-        let confirmed = self.freshness.confirmed();
+        let confirmed_at = self.freshness.confirmed_at();
         let change = GatewayChange::Reading {
             reads,
             rank: self.freshness.rank(),
-            age: confirmed.map(|at| self.now.since(at)),
+            age: confirmed_at.map(|at| self.now.since(at)),
         };
         self.actions.push_back(GatewayAction::Changed(change));
     }
@@ -225,10 +225,10 @@
         for object in objects {
             match object {
                 ViewObject::Instance(revision, instance) => {
-                    changes.extend(self.registry.present(revision, instance));
+                    changes.extend(self.registry.upsert(revision, instance));
                 }
                 ViewObject::Departed(revision, id) => {
-                    changes.extend(self.registry.departed(self.now, revision, at, &id));
+                    changes.extend(self.registry.remove(self.now, revision, at, &id));
                 }
                 ViewObject::Configuration(configuration) => {
                     changed |= self.take_configuration(configuration, ViewOrigin::Store);
@@ -249,14 +249,14 @@
                     // An instance whose entry became unusable is gone; another may have written it.
                     if kind == ViewKind::Registry {
                         let id = BackEndId::new(name.as_str());
-                        changes.extend(self.registry.departed(self.now, revision, at, &id));
+                        changes.extend(self.registry.remove(self.now, revision, at, &id));
                     }
                     self.object_refused(name, reason);
                 }
             }
         }
         if kind == ViewKind::Registry {
-            self.registry.known_upto(at);
+            self.registry.advance_to(at);
         }
         if !orders.is_empty() {
             let orders = self.evacuations.take(orders.into_iter(), at);
@@ -279,19 +279,19 @@
         }
         for change in changes {
             match change {
-                RegistryChange::Present(revision, instance) => {
+                RegistryChange::Upserted(revision, instance) => {
                     self.servers
                         .present(self.now, &mut self.actions, &instance, revision, origin);
                 }
-                RegistryChange::Departed(revision, id) => {
-                    let confirmed = self.freshness.confirmed();
+                RegistryChange::Removed(revision, id) => {
+                    let confirmed_at = self.freshness.confirmed_at();
                     self.servers.departed(
                         self.now,
                         &mut self.actions,
                         &id,
                         revision,
                         origin,
-                        confirmed,
+                        confirmed_at,
                     );
                 }
             }
--- a/crates/thornbridge-core/src/gateway/views/era.rs
+++ b/crates/thornbridge-core/src/gateway/views/era.rs
@@ -1,63 +1,67 @@
-//! Eras of the platform's store, as its answers and peers tell them.
+//! Eras of the platform's store, as reported by its answers and by peers.
 //!
-//! Guards against answers of an earlier era that arrive late, and against values that cannot be: an
-//! era that was believed once outranks all that came before it.
+//! A store that is restored from a backup begins a new era. Late answers of an earlier era are
+//! rejected. Implausibly high eras are ignored, since an accepted era supersedes all lower ones.
 
 use snafu::Snafu;
 
-/// Eras by which a store can have moved on since it was last heard.
-const MOST_ERAS_MISSED: u64 = 1_000;
-/// Highest era that is believed of a store that was not heard before.
-const HIGHEST_FIRST_ERA: u64 = 1 << 32;
+/// Largest plausible advance over the current era.
+const MAX_ERA_ADVANCE: u64 = 1_000;
+/// Highest plausible era while none is known.
+const MAX_INITIAL_ERA: u64 = 1 << 32;
 
-/// What an answer of the store says of its era.
+/// Era reported by an answer of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ToldEra {
-    /// Nothing.
+    /// No era reported.
     Missing,
-    /// Something that is no era.
+    /// Value that does not parse as an era.
     Unreadable(String),
-    /// This era.
+    /// Parsed era.
     Told(u64),
 }
 
-/// An answer of an era that is over.
+/// Error: an answer of an era older than the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("answer of era {told} after one of era {known}"))]
+#[snafu(display("answer of era {reported} after one of era {current}"))]
 pub struct EndedEra {
     /// Era of the answer.
-    pub told: u64,
-    /// Era that is known.
-    pub known: u64,
+    pub reported: u64,
+    /// Current era.
+    pub current: u64,
 }
 
-/// The newest era that the store told this process.
+/// The newest era that the store reported to this process.
 #[derive(Debug, Default)]
 pub struct EraTracker {
-    known: Option<u64>,
+    current: Option<u64>,
 }
 
 impl EraTracker {
-    /// The era that an answer belongs to, and whether what it told can be believed. An answer that
-    /// tells none, or one that cannot be, is no news: it belongs to the era that is known.
-    pub fn take(&mut self, told: &ToldEra) -> Result<(u64, bool), EndedEra> {
-        let known = self.known.unwrap_or_default();
-        match told {
-            ToldEra::Missing => Ok((known, true)),
-            ToldEra::Told(told) if *told < known => Err(EndedEra { told: *told, known }),
-            ToldEra::Told(told) if is_plausible(self.known, *told) => {
-                self.known = Some(*told);
-                Ok((*told, true))
+    /// Returns the era to assign to an answer, and whether its reported era was acceptable.
+    ///
+    /// An answer with a missing, unreadable or implausible era is assigned to the current era.
+    pub fn take(&mut self, reported: &ToldEra) -> Result<(u64, bool), EndedEra> {
+        let current = self.current.unwrap_or_default();
+        match reported {
+            ToldEra::Missing => Ok((current, true)),
+            ToldEra::Told(reported) if *reported < current => Err(EndedEra {
+                reported: *reported,
+                current,
+            }),
+            ToldEra::Told(reported) if is_plausible_era(self.current, *reported) => {
+                self.current = Some(*reported);
+                Ok((*reported, true))
             }
-            ToldEra::Told(_) | ToldEra::Unreadable(_) => Ok((known, false)),
+            ToldEra::Told(_) | ToldEra::Unreadable(_) => Ok((current, false)),
         }
     }
 }
 
-/// Whether a store of which this era is known can be in that one by now.
-pub(in crate::gateway) fn is_plausible(known: Option<u64>, told: u64) -> bool {
-    match known {
-        Some(known) => told <= known.saturating_add(MOST_ERAS_MISSED),
-        None => told <= HIGHEST_FIRST_ERA,
+/// Whether a reported era is in the plausible range above the current one.
+pub(in crate::gateway) fn is_plausible_era(current: Option<u64>, reported: u64) -> bool {
+    match current {
+        Some(current) => reported <= current.saturating_add(MAX_ERA_ADVANCE),
+        None => reported <= MAX_INITIAL_ERA,
     }
 }
--- a/crates/thornbridge-core/src/gateway/views/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/views/freshness.rs
@@ -1,121 +1,121 @@
-//! How old the views may be, and who reads the store for the others.
+//! Staleness of the views, and the choice of the members that read the store.
 //!
-//! Calls to the store are priced, and a change wakes every watch. So one member, the first in the
-//! order of the member list, watches closely; the others follow: they hear of changes from peers,
-//! and ask a peer how long ago the store last confirmed what they know. Guards against a reader
-//! that is cut off, or an answer that never comes: whoever has not been confirmed for long enough
-//! reads the store itself, the next members in order first.
+//! Calls to the store are billed, and a change wakes every watch. Only the member of rank 0, the
+//! first in the member list, reads continuously. The others follow: peers send them changes, and
+//! report how long ago the store confirmed a view. If the reader is partitioned or the store does
+//! not answer, a member whose views stay unconfirmed reads the store itself, lower ranks first.
 
 use super::peers::is_behind;
 use crate::time::Timestamp;
 use std::time::Duration;
 use thornbridge_proto::peer::view::ViewDigest;
 
-/// Share of the limit at which the second member in order begins to read.
-const FIRST_TAKEOVER: f64 = 0.6;
-/// Share of the limit that each further member waits beyond it.
-const TAKEOVER_STEP: f64 = 0.1;
-/// Time after a start at which the second member in order reads, where nothing was confirmed.
-const FIRST_UNCONFIRMED: Duration = Duration::from_millis(800);
-/// Time that each further member waits beyond it: when all start at once, the views come from few.
-const UNCONFIRMED_STEP: Duration = Duration::from_millis(100);
+/// Share of the staleness limit at which the member of rank 1 begins to read.
+const FIRST_TAKEOVER_SHARE: f64 = 0.6;
+/// Share of the staleness limit added for each further rank.
+const TAKEOVER_SHARE_STEP: f64 = 0.1;
+/// Time after the start at which the member of rank 1 begins to read unconfirmed views.
+const UNCONFIRMED_TAKEOVER_DELAY: Duration = Duration::from_millis(800);
+/// Delay added for each further rank, so that few members read when all start at once.
+const UNCONFIRMED_TAKEOVER_STEP: Duration = Duration::from_millis(100);
 
-/// What is known of the age of this node's views.
+/// Staleness of this node's views, and its rank among the readers.
 #[derive(Debug)]
 pub(in crate::gateway) struct Freshness {
-    limit: Duration,
+    staleness_limit: Duration,
     rank: usize,
-    confirmed: Option<Timestamp>,
-    /// A newer view that a peer has, and when the store confirmed that.
-    ahead: Option<(ViewDigest, Timestamp)>,
+    confirmed_at: Option<Timestamp>,
+    /// Newer views of a peer, and when the store confirmed them.
+    newer_peer_views: Option<(ViewDigest, Timestamp)>,
 }
 
 impl Freshness {
-    pub(in crate::gateway) fn new(limit: Duration) -> Self {
+    pub(in crate::gateway) fn new(staleness_limit: Duration) -> Self {
         Self {
-            limit,
+            staleness_limit,
             rank: 0,
-            confirmed: None,
-            ahead: None,
+            confirmed_at: None,
+            newer_peer_views: None,
         }
     }
 
-    /// Takes a new limit.
-    pub(in crate::gateway) fn set_limit(&mut self, limit: Duration) {
-        self.limit = limit;
+    pub(in crate::gateway) fn set_limit(&mut self, staleness_limit: Duration) {
+        self.staleness_limit = staleness_limit;
     }
 
-    /// Takes this node's place among the members; 0 reads for all.
+    /// Sets this node's position in the reader order; rank 0 reads for all.
     pub(in crate::gateway) fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// The store confirmed the views as of `at`.
+    /// Records that the store confirmed the views at `at`.
     pub(in crate::gateway) fn confirm(&mut self, at: Timestamp) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// A peer told what it has, and how long ago the store confirmed that.
-    pub(in crate::gateway) fn heard(
+    /// Records a peer's digest and the age of its last confirmation by the store.
+    pub(in crate::gateway) fn record_peer_digest(
         &mut self,
         now: Timestamp,
         own: ViewDigest,
         theirs: ViewDigest,
         age: Duration,
     ) {
-        if age > self.limit {
+        if age > self.staleness_limit {
             return;
         }
         let at = Timestamp::ZERO + now.since_epoch().saturating_sub(age);
-        self.ahead = Some((theirs, at));
-        self.caught_up(own);
+        self.newer_peer_views = Some((theirs, at));
+        self.confirm_if_caught_up(own);
     }
 
-    /// This node's views changed: they may be what a peer has.
-    pub(in crate::gateway) fn caught_up(&mut self, own: ViewDigest) {
-        let Some((digest, at)) = self.ahead else {
+    /// Takes over a peer's confirmation once this node's views are as new as the peer's.
+    pub(in crate::gateway) fn confirm_if_caught_up(&mut self, own: ViewDigest) {
+        let Some((digest, at)) = self.newer_peer_views else {
             return;
         };
         if !is_behind(own, digest) {
-            self.ahead = None;
+            self.newer_peer_views = None;
             self.confirm(at);
         }
     }
 
     /// When the store last confirmed the views.
-    pub(in crate::gateway) fn confirmed(&self) -> Option<Timestamp> {
-        self.confirmed
+    pub(in crate::gateway) fn confirmed_at(&self) -> Option<Timestamp> {
+        self.confirmed_at
     }
 
-    /// This node's place in the order of readers.
+    /// Position in the reader order.
     pub(in crate::gateway) fn rank(&self) -> usize {
         self.rank
     }
 
-    /// Time since then; since the start of this node, where they never were. A node that starts leaves
-    /// the store to whoever reads it.
+    /// Time since the last confirmation, or since the start of this node.
     pub(in crate::gateway) fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.confirmed.unwrap_or(Timestamp::ZERO))
+        now.since(self.confirmed_at.unwrap_or(Timestamp::ZERO))
     }
 
-    /// Whether this node is to read the store itself.
-    pub(in crate::gateway) fn must_read(&self, now: Timestamp) -> bool {
-        self.rank == 0 || self.age(now) >= self.patience()
+    /// Whether this node should read the store itself.
+    pub(in crate::gateway) fn should_read(&self, now: Timestamp) -> bool {
+        self.rank == 0 || self.age(now) >= self.takeover_delay()
     }
 
-    /// When it will have to, if nothing is confirmed before.
+    /// When this node will begin to read unless its views are confirmed before.
     pub(in crate::gateway) fn next_timeout(&self, now: Timestamp) -> Option<Timestamp> {
-        let due = self.confirmed.unwrap_or(Timestamp::ZERO) + self.patience();
+        let due = self.confirmed_at.unwrap_or(Timestamp::ZERO) + self.takeover_delay();
         (self.rank > 0 && due > now).then_some(due)
     }
 
-    fn patience(&self) -> Duration {
-        let later = self.rank.saturating_sub(1);
-        let share = FIRST_TAKEOVER + TAKEOVER_STEP * later as f64;
-        let patience = self.limit.mul_f64(share.min(1.0));
-        match self.confirmed {
-            Some(_) => patience,
-            None => patience.min(FIRST_UNCONFIRMED + UNCONFIRMED_STEP * later as u32),
+    /// Staleness at which a node of this rank begins to read.
+    fn takeover_delay(&self) -> Duration {
+        let steps = self.rank.saturating_sub(1);
+        let share = FIRST_TAKEOVER_SHARE + TAKEOVER_SHARE_STEP * steps as f64;
+        let delay = self.staleness_limit.mul_f64(share.min(1.0));
+        match self.confirmed_at {
+            Some(_) => delay,
+            None => {
+                delay.min(UNCONFIRMED_TAKEOVER_DELAY + UNCONFIRMED_TAKEOVER_STEP * steps as u32)
+            }
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/views/mod.rs
+++ b/crates/thornbridge-core/src/gateway/views/mod.rs
@@ -1,15 +1,15 @@
-//! The views that a gateway keeps: the route configuration, the registry of instances and the
+//! Replicated views of a gateway: the route configuration, the registry of instances and the
 //! evacuated zones.
 //!
-//! Each is read from the store by a list and then watches ([`source`]), by one member for all, and
-//! compared with peers ([`peers`], nearer ones first: [`neighbourhood`]), so that a node that the
-//! store refuses or cannot reach still learns every change. [`freshness`] says who reads.
-//! Guards against going back: a view is replaced only by a newer one.
+//! One member reads the views from the store by a list and subsequent watches ([`source`]).
+//! Members exchange them by digests and pulls ([`peers`]), preferring peers of their own zone
+//! ([`zone_peers`]), so that a node without access to the store still receives every change.
+//! [`freshness`] decides which members read the store. A view is replaced only by a newer one.
 
 pub(super) mod era;
 pub(super) mod evacuations;
 pub(super) mod freshness;
-pub(super) mod neighbourhood;
 pub(super) mod peers;
 pub(super) mod registry;
 pub(super) mod source;
+pub(super) mod zone_peers;
--- a/crates/thornbridge-core/src/gateway/views/peers.rs
+++ b/crates/thornbridge-core/src/gateway/views/peers.rs
@@ -1,12 +1,11 @@
-//! Comparing views with peers: digests, and pulls of what is lacking.
+//! Exchange of views with peers by digests and pulls.
 //!
-//! A node tells a few peers at once when it learnt something, and one peer drawn at random once in a
-//! while; whoever is behind pulls what it lacks, from a peer of its zone where one has it
-//! ([`super::neighbourhood`]). Beside that, each node polls one of the members that stand before it
-//! in the order of readers ([`super::freshness`]), which answers with how long ago the store
-//! confirmed its views.
+//! A node sends its digest to a few peers when its views change, and periodically to a random peer.
+//! A node that is behind a digest pulls the missing changes, preferably from a peer of its own zone
+//! ([`super::zone_peers`]). Each node also polls a member before it in the reader order
+//! ([`super::freshness`]), which replies with the time since the store confirmed its views.
 
-use super::neighbourhood::{Neighbourhood, polled_by};
+use super::zone_peers::{ZonePeers, poll_targets};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::parameters::ViewParameters;
 use crate::gateway::servers::Sharer;
@@ -19,29 +18,28 @@
 use thornbridge_proto::peer::PeerMessage;
 use thornbridge_proto::peer::view::{StoreRevision, ViewDigest, ViewMessage};
 
-/// How much fresher its views must be for a node to answer a digest.
-const FRESHER: Duration = Duration::from_millis(50);
-/// Time until a pull that brought nothing is made again; doubled with each.
-const PULL_AGAIN: Duration = Duration::from_millis(400);
-/// Pulls in a row beyond which that time does not grow: a whole registry may be on its way over a
-/// link that others use, too.
-const MOST_DOUBLINGS: u32 = 3;
-/// Time that a node leaves to peers of its zone to tell what it heard from a farther one that it
-/// polls: one of the zone was told unasked, and pulls at once.
-const FAR_PATIENCE: Duration = Duration::from_millis(250);
-/// The same while a view is not known at all: peers of the zone are asked meanwhile.
-const FAR_PATIENCE_FOR_ALL: Duration = Duration::from_millis(700);
-/// Time until a node that lacks a view asks another peer.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-/// Digests and pulls, drawn at random, of which one may go beyond the zone.
-const FAR_EACH: u32 = 8;
+/// Age difference above which a node replies to a digest of equal but staler views.
+const MIN_AGE_ADVANTAGE: Duration = Duration::from_millis(50);
+/// Delay before the first retry of a pull; doubled with each retry.
+const PULL_RETRY_BACKOFF: Duration = Duration::from_millis(400);
+/// Retries after which the delay between pulls no longer grows.
+const MAX_DOUBLINGS: u32 = 3;
+/// Delay before a pull from a polled remote peer: a local peer may announce the change meanwhile.
+const REMOTE_PULL_DELAY: Duration = Duration::from_millis(250);
+/// Delay before a pull from a polled remote peer while a view is missing altogether.
+const INITIAL_REMOTE_PULL_DELAY: Duration = Duration::from_millis(700);
+/// Time between pulls from random peers while a view is missing altogether.
+const INITIAL_PULL_INTERVAL: Duration = Duration::from_millis(200);
+/// Random draws of a peer of which one may leave the zone.
+const DRAWS_PER_REMOTE_PEER: u32 = 8;
 
+/// Peer with newer views, and the next pull from it.
 #[derive(Clone, Copy, Debug)]
-struct Behind {
+struct PullTarget {
     peer: SocketAddr,
     digest: ViewDigest,
     pull_at: Timestamp,
-    /// Pulls that were made.
+    /// Pulls sent so far.
     pulls: u32,
 }
 
@@ -49,86 +47,91 @@
 #[derive(Debug)]
 pub(in crate::gateway) struct PeerViews {
     parameters: ViewParameters,
-    peers: Neighbourhood,
-    /// Members that are polled, and the one that is.
-    polled: Vec<SocketAddr>,
+    peers: ZonePeers,
+    /// Members to poll, in order of preference.
+    poll_targets: Vec<SocketAddr>,
     poll_index: usize,
     next_poll: Timestamp,
-    /// Confirmation that was known at the last poll.
-    confirmed_at_poll: Option<Timestamp>,
+    /// Time of the last confirmation as of the previous poll.
+    confirmed_at_last_poll: Option<Timestamp>,
     next_digest: Timestamp,
-    behind: Option<Behind>,
-    /// When a node that knows nothing yet asks a peer again.
-    next_pull: Timestamp,
-    /// Peers drawn at random so far.
-    drawn: u32,
-    /// When a peer beyond the zone may be pulled from again: a whole view may be on its way.
-    next_far_pull: Timestamp,
+    pull_target: Option<PullTarget>,
+    /// Next pull from a random peer while a view is missing altogether.
+    next_initial_pull: Timestamp,
+    /// Random draws of a peer so far.
+    draws: u32,
+    /// Earliest next pull from a remote peer: the reply to the last one may still be in flight.
+    next_remote_pull: Timestamp,
 }
 
 impl PeerViews {
     pub(in crate::gateway) fn new(parameters: ViewParameters) -> Self {
         Self {
             parameters,
-            peers: Neighbourhood::default(),
-            polled: Vec::new(),
+            peers: ZonePeers::default(),
+            poll_targets: Vec::new(),
             poll_index: 0,
             next_poll: Timestamp::ZERO,
-            confirmed_at_poll: None,
+            confirmed_at_last_poll: None,
             next_digest: Timestamp::ZERO,
-            behind: None,
-            next_pull: Timestamp::ZERO,
-            drawn: 0,
-            next_far_pull: Timestamp::ZERO,
+            pull_target: None,
+            next_initial_pull: Timestamp::ZERO,
+            draws: 0,
+            next_remote_pull: Timestamp::ZERO,
         }
     }
 
-    /// Takes the members to compare with.
+    /// Sets the members to exchange views with.
     pub(in crate::gateway) fn set_peers(
         &mut self,
         own: &Sharer,
         members: impl Iterator<Item = Sharer>,
     ) {
-        self.peers = Neighbourhood::new(own, members);
+        self.peers = ZonePeers::new(own, members);
     }
 
-    /// Takes the order of readers and this node's place in it.
+    /// Sets the reader order and this node's position in it.
     pub(in crate::gateway) fn set_readers(&mut self, own: &Sharer, order: &[Sharer], rank: usize) {
-        self.polled = polled_by(own, order, rank);
+        self.poll_targets = poll_targets(own, order, rank);
         self.poll_index = 0;
     }
 
-    /// A peer drawn at random: of this node's zone, and sometimes any.
+    /// Draws a random peer: mostly of this node's zone, periodically of any zone.
     fn draw(&mut self, random: &mut Pcg64Mcg) -> Option<SocketAddr> {
-        self.drawn = self.drawn.wrapping_add(1);
-        match self.drawn.is_multiple_of(FAR_EACH) {
+        self.draws = self.draws.wrapping_add(1);
+        match self.draws.is_multiple_of(DRAWS_PER_REMOTE_PEER) {
             true => self.peers.any(random),
-            false => self.peers.any_near(random),
+            false => self.peers.any_local(random),
         }
     }
 
-    /// Asks a member before this one how fresh its views are; another one where the last did not
-    /// help.
+    /// Sends a digest to the current poll target; moves on to the next target if the previous poll
+    /// brought no newer confirmation.
     fn poll(&mut self, actions: &mut VecDeque<GatewayAction>, own: ViewAge) {
-        if own.confirmed <= self.confirmed_at_poll {
+        if own.confirmed_at <= self.confirmed_at_last_poll {
             self.poll_index += 1;
         }
-        self.confirmed_at_poll = own.confirmed;
-        let index = self.poll_index % self.polled.len();
-        actions.push_back(send_digest(self.polled[index], own));
+        self.confirmed_at_last_poll = own.confirmed_at;
+        let index = self.poll_index % self.poll_targets.len();
+        actions.push_back(send_digest(self.poll_targets[index], own));
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is due next.
     pub(in crate::gateway) fn next_timeout(&self, own: ViewDigest) -> Option<Timestamp> {
-        let ask = self.asks_anyone(own).then_some(self.next_pull);
+        let initial_pull = self
+            .needs_initial_pull(own)
+            .then_some(self.next_initial_pull);
         let digest = (!self.peers.is_empty()).then_some(self.next_digest);
-        let behind = self.behind.as_ref();
-        let pull = behind.map(|behind| self.pull_from_at(behind.peer, behind.pull_at));
-        let poll = (!self.polled.is_empty()).then_some(self.next_poll);
-        [ask, digest, pull, poll].into_iter().flatten().min()
+        let target = self.pull_target.as_ref();
+        let pull = target.map(|target| self.pull_allowed_at(target.peer, target.pull_at));
+        let poll = (!self.poll_targets.is_empty()).then_some(self.next_poll);
+        [initial_pull, digest, pull, poll]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    /// Sends a digest and a pull where they are due.
+    /// Sends the polls, digests and pulls that are due.
     pub(in crate::gateway) fn timer_due(
         &mut self,
         now: Timestamp,
@@ -137,7 +140,7 @@
         view: ViewAge,
     ) {
         let own = view.digest;
-        if !self.polled.is_empty() && self.next_poll <= now {
+        if !self.poll_targets.is_empty() && self.next_poll <= now {
             self.next_poll = now + self.parameters.poll_interval;
             self.poll(actions, view);
         }
@@ -146,40 +149,40 @@
             let peer = self.draw(random);
             actions.extend(peer.map(|peer| send_digest(peer, view)));
         }
-        if self.asks_anyone(own) && self.next_pull <= now {
-            self.next_pull = now + ASK_AGAIN;
+        if self.needs_initial_pull(own) && self.next_initial_pull <= now {
+            self.next_initial_pull = now + INITIAL_PULL_INTERVAL;
             let peer = self.draw(random);
-            let peer = peer.filter(|peer| self.pull_from_at(*peer, now) <= now);
+            let peer = peer.filter(|peer| self.pull_allowed_at(*peer, now) <= now);
             if let Some(peer) = peer {
                 self.pull(now, actions, peer, own);
             }
         }
-        let Some(behind) = self.behind else {
+        let Some(target) = self.pull_target else {
             return;
         };
-        if !is_behind(own, behind.digest) {
-            self.behind = None;
-        } else if self.pull_from_at(behind.peer, behind.pull_at) <= now {
-            self.pull(now, actions, behind.peer, own);
-            let doublings = behind.pulls.min(MOST_DOUBLINGS);
-            // A peer that does not answer is not asked for ever: the next digest names another.
-            self.behind = Some(Behind {
-                pull_at: now + PULL_AGAIN * 2_u32.pow(doublings),
-                pulls: behind.pulls + 1,
-                ..behind
+        if !is_behind(own, target.digest) {
+            self.pull_target = None;
+        } else if self.pull_allowed_at(target.peer, target.pull_at) <= now {
+            self.pull(now, actions, target.peer, own);
+            let doublings = target.pulls.min(MAX_DOUBLINGS);
+            // A later digest replaces a target that does not answer.
+            self.pull_target = Some(PullTarget {
+                pull_at: now + PULL_RETRY_BACKOFF * 2_u32.pow(doublings),
+                pulls: target.pulls + 1,
+                ..target
             });
         }
     }
 
-    /// When a peer may be pulled from, where that is due at a time.
-    fn pull_from_at(&self, peer: SocketAddr, due: Timestamp) -> Timestamp {
-        match self.peers.is_in_zone(peer) {
+    /// Time of a pull that is due at `due`, subject to the spacing of remote pulls.
+    fn pull_allowed_at(&self, peer: SocketAddr, due: Timestamp) -> Timestamp {
+        match self.peers.is_local(peer) {
             true => due,
-            false => due.max(self.next_far_pull),
+            false => due.max(self.next_remote_pull),
         }
     }
 
-    /// Pulls from a peer.
+    /// Requests the changes that a peer has and this node lacks.
     fn pull(
         &mut self,
         now: Timestamp,
@@ -187,28 +190,29 @@
         peer: SocketAddr,
         own: ViewDigest,
     ) {
-        if !self.peers.is_in_zone(peer) {
-            self.next_far_pull = now + PULL_AGAIN;
+        if !self.peers.is_local(peer) {
+            self.next_remote_pull = now + PULL_RETRY_BACKOFF;
         }
         actions.push_back(send(peer, ViewMessage::Pull(own)));
     }
 
-    /// Whether a view is lacking, and no peer is known from which it is to be had now.
-    fn asks_anyone(&self, own: ViewDigest) -> bool {
-        let later = |behind: &Behind| behind.pulls == 0 && !self.peers.is_near(behind.peer);
-        let nobody = self.behind.as_ref().is_none_or(later);
-        nobody && self.lacks_a_view(own) && !self.peers.is_empty()
+    /// Whether a view is missing altogether and no pull target can be used right away.
+    fn needs_initial_pull(&self, own: ViewDigest) -> bool {
+        let target_is_deferred =
+            |target: &PullTarget| target.pulls == 0 && !self.peers.is_nearest(target.peer);
+        let no_target_due = self.pull_target.as_ref().is_none_or(target_is_deferred);
+        no_target_due && self.is_missing_view(own) && !self.peers.is_empty()
     }
 
-    /// Whether a view is not known at all.
-    fn lacks_a_view(&self, own: ViewDigest) -> bool {
+    /// Whether a view was never received.
+    fn is_missing_view(&self, own: ViewDigest) -> bool {
         let unknown = StoreRevision::default();
         let evacuations = self.parameters.evacuations && own.evacuations == unknown;
         own.configuration == 0 || own.registry == unknown || evacuations
     }
 
-    /// Tells a few peers of what is new here, and one of each other zone where it came from beyond
-    /// this one.
+    /// Announces changed views to a few local peers, and to one peer of each other zone unless the
+    /// change came from a local peer. `from`: the peer that sent the change; `None` for the store.
     pub(in crate::gateway) fn announce(
         &mut self,
         random: &mut Pcg64Mcg,
@@ -217,19 +221,19 @@
         from: Option<SocketAddr>,
     ) {
         let fanout = self.parameters.digest_fanout;
-        for peer in self.peers.near().choose_multiple(random, fanout) {
+        for peer in self.peers.local().choose_multiple(random, fanout) {
             actions.push_back(send_digest(*peer, own));
         }
-        if from.is_some_and(|peer| self.peers.is_in_zone(peer)) {
+        if from.is_some_and(|peer| self.peers.is_local(peer)) {
             return;
         }
-        for peer in self.peers.one_of_each_other_zone(random) {
+        for peer in self.peers.one_per_remote_zone(random) {
             actions.push_back(send_digest(peer, own));
         }
     }
 
-    /// A peer told what it has.
-    pub(in crate::gateway) fn digest(
+    /// Handles a peer's digest: replies if the peer is behind, selects a pull target if this node is.
+    pub(in crate::gateway) fn handle_digest(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
@@ -239,71 +243,77 @@
         view: ViewAge,
     ) {
         let own = view.digest;
-        let ahead = is_behind(theirs, own) && !is_behind(own, theirs);
-        let fresher = view.age_at(now) + FRESHER <= their_age;
-        if ahead || (fresher && !is_behind(own, theirs)) {
+        let peer_is_behind = is_behind(theirs, own) && !is_behind(own, theirs);
+        let peer_is_staler = view.age_at(now) + MIN_AGE_ADVANTAGE <= their_age;
+        if peer_is_behind || (peer_is_staler && !is_behind(own, theirs)) {
             actions.push_back(send_digest(peer, view));
         }
         if !is_behind(own, theirs) {
             return;
         }
-        let patience = self.patience_with(peer, own);
-        self.behind = Some(self.behind_of(now + patience, peer, theirs));
+        let delay = self.pull_delay(peer, own);
+        self.pull_target = Some(self.choose_pull_target(now + delay, peer, theirs));
     }
 
-    /// Time to wait before a peer is pulled from.
-    fn patience_with(&self, peer: SocketAddr, own: ViewDigest) -> Duration {
-        if self.peers.is_near(peer) || !self.polled.contains(&peer) {
+    /// Delay before a pull from a peer.
+    fn pull_delay(&self, peer: SocketAddr, own: ViewDigest) -> Duration {
+        if self.peers.is_nearest(peer) || !self.poll_targets.contains(&peer) {
             return Duration::ZERO;
         }
-        match self.lacks_a_view(own) {
-            true => FAR_PATIENCE_FOR_ALL,
-            false => FAR_PATIENCE,
+        match self.is_missing_view(own) {
+            true => INITIAL_REMOTE_PULL_DELAY,
+            false => REMOTE_PULL_DELAY,
         }
     }
 
-    /// From whom to pull, and when, now that this peer has what is lacking and may be asked then.
-    fn behind_of(&self, pull_at: Timestamp, peer: SocketAddr, digest: ViewDigest) -> Behind {
-        let fresh = Behind {
+    /// Chooses between the current pull target and a peer with newer views.
+    fn choose_pull_target(
+        &self,
+        pull_at: Timestamp,
+        peer: SocketAddr,
+        digest: ViewDigest,
+    ) -> PullTarget {
+        let new_target = PullTarget {
             peer,
             digest,
             pull_at,
             pulls: 0,
         };
-        let Some(known) = self.behind else {
-            return fresh;
+        let Some(current) = self.pull_target else {
+            return new_target;
         };
-        let farther = self.peers.is_near(known.peer) && !self.peers.is_near(peer);
-        if farther && !is_behind(known.digest, digest) {
-            return known;
+        let is_farther = self.peers.is_nearest(current.peer) && !self.peers.is_nearest(peer);
+        if is_farther && !is_behind(current.digest, digest) {
+            return current;
         }
-        let pull_at = match known.pulls {
-            0 => known.pull_at.min(pull_at),
-            _ => known.pull_at.min(pull_at + PULL_AGAIN),
+        let pull_at = match current.pulls {
+            0 => current.pull_at.min(pull_at),
+            _ => current.pull_at.min(pull_at + PULL_RETRY_BACKOFF),
         };
-        Behind {
+        PullTarget {
             pull_at,
-            pulls: known.pulls,
-            ..fresh
+            pulls: current.pulls,
+            ..new_target
         }
     }
 }
 
-/// What a node has, and when the store confirmed it.
+/// Digest of this node's views, and when the store last confirmed them.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::gateway) struct ViewAge {
     pub(in crate::gateway) digest: ViewDigest,
-    pub(in crate::gateway) confirmed: Option<Timestamp>,
+    pub(in crate::gateway) confirmed_at: Option<Timestamp>,
     pub(in crate::gateway) now: Timestamp,
 }
 
 impl ViewAge {
     fn age_at(&self, now: Timestamp) -> Duration {
-        self.confirmed.map_or(Duration::MAX / 2, |at| now.since(at))
+        self.confirmed_at
+            .map_or(Duration::MAX / 2, |at| now.since(at))
     }
 }
 
-/// Whether some view is older than the other's.
+/// Whether any view in `own` is older than in `other`.
 pub(super) fn is_behind(own: ViewDigest, other: ViewDigest) -> bool {
     own.configuration < other.configuration
         || own.registry < other.registry
@@ -317,7 +327,7 @@
     }
 }
 
-/// Tells a peer what this node has.
+/// Sends this node's digest to a peer.
 pub(in crate::gateway) fn send_digest(to: SocketAddr, view: ViewAge) -> GatewayAction {
     let age = view.age_at(view.now).as_millis();
     let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
--- a/crates/thornbridge-core/src/gateway/views/registry.rs
+++ b/crates/thornbridge-core/src/gateway/views/registry.rs
@@ -1,7 +1,7 @@
-//! The registry of instances as it is known here, at a revision.
+//! Replica of the instance registry, complete up to a revision of the store.
 //!
-//! A new era of the store outranks all that was known of the ones before it, but for what was
-//! acknowledged of single servers since the copy that it came back from.
+//! A new era of the store supersedes all earlier ones, except that a restored entry does not undo
+//! a drain, removal or restart that the store had acknowledged after the backup was made.
 
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,212 +9,215 @@
 use thornbridge_proto::BackEndId;
 use thornbridge_proto::peer::view::{Instance, InstanceState, RegistryDelta, StoreRevision};
 
-/// A change that was taken into the registry.
+/// Change applied to the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum RegistryChange {
-    /// An instance is there, or its entry changed.
-    Present(StoreRevision, Instance),
-    /// An instance's entry is gone.
-    Departed(StoreRevision, BackEndId),
+    /// Entry added or changed.
+    Upserted(StoreRevision, Instance),
+    /// Entry removed.
+    Removed(StoreRevision, BackEndId),
 }
 
+/// Record of a removed entry, kept so that deltas to peers contain the removal.
 #[derive(Clone, Copy, Debug)]
-struct Departure {
-    /// Revision of the entry that is gone, or of its deletion.
+struct Tombstone {
+    /// Revision of the removal, or of the removed entry.
     revision: StoreRevision,
-    /// Revision of the store at which that was known.
-    known_at: StoreRevision,
-    /// The entry as it was last known here; `None` where it never was.
+    /// Revision of the store at which the removal was observed.
+    observed_at: StoreRevision,
+    /// Last entry seen before the removal, if any.
     entry: Option<LastEntry>,
-    learnt: Timestamp,
+    recorded_at: Timestamp,
 }
 
-/// The last entry of an instance before it went away.
+/// Revision and run of an instance's last entry before its removal.
 #[derive(Clone, Copy, Debug)]
 struct LastEntry {
     revision: StoreRevision,
     born_ms: u64,
 }
 
-/// The registry.
+/// Registry entries and tombstones.
 #[derive(Debug, Default)]
 #[cfg_attr(test, derive(Clone))]
 pub(in crate::gateway) struct Registry {
     upto: Option<StoreRevision>,
-    present: BTreeMap<BackEndId, (StoreRevision, Instance)>,
-    departed: BTreeMap<BackEndId, Departure>,
-    /// Departures known at or before this revision may be forgotten.
-    forgotten_upto: StoreRevision,
-    /// Instances that are held, and since when; `None` until that was looked at.
+    entries: BTreeMap<BackEndId, (StoreRevision, Instance)>,
+    tombstones: BTreeMap<BackEndId, Tombstone>,
+    /// Oldest revision from which a delta contains all removals.
+    min_delta_base: StoreRevision,
+    /// Held instances and the start of the hold; `None` until the first release check.
     held: BTreeMap<BackEndId, Option<Timestamp>>,
 }
 
-/// Time for which an entry that had gone is held: longer than the store keeps one that its server
-/// does not write.
-const HELD_FOR: Duration = Duration::from_secs(15);
+/// Time for which a restored entry is held; exceeds the time to live of an entry in the store.
+const HOLD_PERIOD: Duration = Duration::from_secs(15);
 
 impl Registry {
-    /// Revision up to which it is known; `None` where it is not.
+    /// Revision up to which the registry is complete; `None` before the first list.
     pub(in crate::gateway) fn upto(&self) -> Option<StoreRevision> {
         self.upto
     }
 
-    /// Whether something is of an era of the store before the one that is known.
-    fn is_over(&self, revision: StoreRevision) -> bool {
+    /// Whether a revision belongs to an earlier era than the registry.
+    fn is_from_earlier_era(&self, revision: StoreRevision) -> bool {
         self.upto.is_some_and(|upto| revision.era < upto.era)
     }
 
-    /// Takes an entry; gives the change it makes.
-    pub(in crate::gateway) fn present(
+    /// Adds or updates an entry; `None` if the registry already has a newer state.
+    pub(in crate::gateway) fn upsert(
         &mut self,
         revision: StoreRevision,
         instance: Instance,
     ) -> Option<RegistryChange> {
-        if self.is_over(revision) {
+        if self.is_from_earlier_era(revision) {
             return None;
         }
         let id = instance.id.clone();
-        let known = self.present.get(&id).map(|(revision, _)| *revision);
-        let departed = self.departed.get(&id).map(|departure| departure.revision);
-        if known >= Some(revision) || departed >= Some(revision) {
+        let known = self.entries.get(&id).map(|(revision, _)| *revision);
+        let removed = self.tombstones.get(&id).map(|tombstone| tombstone.revision);
+        if known >= Some(revision) || removed >= Some(revision) {
             return None;
         }
-        self.departed.remove(&id);
+        self.tombstones.remove(&id);
         match instance.state {
             InstanceState::Held => self.held.insert(id.clone(), None),
             InstanceState::Ready | InstanceState::Draining => self.held.remove(&id),
         };
-        self.present.insert(id, (revision, instance.clone()));
-        Some(RegistryChange::Present(revision, instance))
+        self.entries.insert(id, (revision, instance.clone()));
+        Some(RegistryChange::Upserted(revision, instance))
     }
 
-    /// Takes the end of an entry.
-    pub(in crate::gateway) fn departed(
+    /// Removes an entry. `observed_at`: revision of the store at which the removal was observed.
+    pub(in crate::gateway) fn remove(
         &mut self,
         now: Timestamp,
         revision: StoreRevision,
-        known_at: StoreRevision,
+        observed_at: StoreRevision,
         id: &BackEndId,
     ) -> Option<RegistryChange> {
-        let present = self.present.get(id).map(|(revision, _)| *revision);
-        let known = self.departed.get(id).map(|departure| departure.revision);
-        if self.is_over(revision) || present > Some(revision) || known >= Some(revision) {
+        let known = self.entries.get(id).map(|(revision, _)| *revision);
+        let removed = self.tombstones.get(id).map(|tombstone| tombstone.revision);
+        if self.is_from_earlier_era(revision) || known > Some(revision) || removed >= Some(revision)
+        {
             return None;
         }
-        // Also of one that was never seen here: a peer that saw it may ask.
-        let departure = Departure {
+        // Unknown instances get a tombstone as well: a peer that pulls may have the entry.
+        let tombstone = Tombstone {
             revision,
-            known_at,
+            observed_at,
             entry: self.last_entry(id),
-            learnt: now,
+            recorded_at: now,
         };
-        self.departed.insert(id.clone(), departure);
+        self.tombstones.insert(id.clone(), tombstone);
         self.held.remove(id);
-        self.present.remove(id)?;
-        Some(RegistryChange::Departed(revision, id.clone()))
+        self.entries.remove(id)?;
+        Some(RegistryChange::Removed(revision, id.clone()))
     }
 
+    /// Last entry of an instance, from its tombstone if it was removed.
     fn last_entry(&self, id: &BackEndId) -> Option<LastEntry> {
-        match self.present.get(id) {
+        match self.entries.get(id) {
             Some((revision, instance)) => Some(LastEntry {
                 revision: *revision,
                 born_ms: instance.born_ms,
             }),
-            None => self.departed.get(id)?.entry,
+            None => self.tombstones.get(id)?.entry,
         }
     }
 
-    /// Everything up to a revision is known.
-    pub(in crate::gateway) fn known_upto(&mut self, revision: StoreRevision) {
+    /// Marks the registry complete up to a revision.
+    pub(in crate::gateway) fn advance_to(&mut self, revision: StoreRevision) {
         self.upto = Some(self.upto.map_or(revision, |known| known.max(revision)));
     }
 
-    /// Takes the whole registry as of a revision: what is not in it, and is not newer, is gone.
+    /// Replaces the registry by a list as of a revision; removes older entries that are not listed.
     pub(in crate::gateway) fn replace(
         &mut self,
         now: Timestamp,
         entries: Vec<(StoreRevision, Instance)>,
         at: StoreRevision,
     ) -> Vec<RegistryChange> {
-        if self.is_over(at) {
+        if self.is_from_earlier_era(at) {
             return Vec::new();
         }
         if self.upto.is_some_and(|upto| upto > at) {
-            // Older than what is known: only additions that are news are taken.
+            // The list is older than the registry: only unknown and newer entries apply.
             return entries
                 .into_iter()
-                .filter_map(|(revision, instance)| self.present(revision, instance))
+                .filter_map(|(revision, instance)| self.upsert(revision, instance))
                 .collect();
         }
         let entries = match self.upto {
-            Some(upto) if upto.era < at.era => self.carry_over(entries),
+            Some(upto) if upto.era < at.era => self.merge_restored(entries),
             _ => entries,
         };
-        let listed: BTreeSet<BackEndId> = entries
+        let listed_ids: BTreeSet<BackEndId> = entries
             .iter()
             .map(|(_, instance)| instance.id.clone())
             .collect();
-        let gone: Vec<BackEndId> = self
-            .present
+        let unlisted: Vec<BackEndId> = self
+            .entries
             .iter()
-            .filter(|(id, (revision, _))| *revision <= at && !listed.contains(*id))
+            .filter(|(id, (revision, _))| *revision <= at && !listed_ids.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
-        let mut changes: Vec<RegistryChange> = gone
+        let mut changes: Vec<RegistryChange> = unlisted
             .iter()
-            .filter_map(|id| self.departed(now, at, at, id))
+            .filter_map(|id| self.remove(now, at, at, id))
             .collect();
-        let present = entries
+        let added = entries
             .into_iter()
-            .filter_map(|(revision, instance)| self.present(revision, instance));
-        changes.extend(present);
-        self.known_upto(at);
-        // What came and went without being seen here is not known: a peer that was behind this
-        // list needs the whole of it too.
-        self.forgotten_upto = self.forgotten_upto.max(at);
+            .filter_map(|(revision, instance)| self.upsert(revision, instance));
+        changes.extend(added);
+        self.advance_to(at);
+        // A list omits entries that were added and removed since the last one, so that no complete
+        // delta across it exists.
+        self.min_delta_base = self.min_delta_base.max(at);
         changes
     }
 
-    /// The entries of a store that came back from a copy, with what was known of their servers since
-    /// that was made: a run that drains or was followed by another still does, and one that had left
-    /// takes nothing until its entry changes, or stays for longer than one that nobody writes.
-    /// Guards against requests to servers whose leaving the store had acknowledged.
-    fn carry_over(
+    /// Merges the entries of a restored store with the state known from the previous era.
+    ///
+    /// Draining and restarted instances keep their newer state. An instance removed before is held
+    /// until its entry changes or outlives the hold period, so that no request is sent to a server
+    /// whose removal the store had acknowledged.
+    fn merge_restored(
         &self,
         entries: Vec<(StoreRevision, Instance)>,
     ) -> Vec<(StoreRevision, Instance)> {
         let entries = entries.into_iter();
         entries
             .map(|(revision, instance)| {
-                let instance = match self.had_left(revision, &instance) {
+                let instance = match self.was_removed(revision, &instance) {
                     true => Instance {
                         state: InstanceState::Held,
                         ..instance
                     },
-                    false => self.newest_state(instance),
+                    false => self.latest_state(instance),
                 };
                 (revision, instance)
             })
             .collect()
     }
 
-    /// Whether an entry is one that its server wrote before it went away, as far as can be told.
-    fn had_left(&self, revision: StoreRevision, instance: &Instance) -> bool {
-        let departure = self.departed.get(&instance.id);
-        let Some(last) = departure.and_then(|departure| departure.entry) else {
+    /// Whether a restored entry was written before the removal of its instance.
+    fn was_removed(&self, revision: StoreRevision, instance: &Instance) -> bool {
+        let tombstone = self.tombstones.get(&instance.id);
+        let Some(last) = tombstone.and_then(|tombstone| tombstone.entry) else {
             return false;
         };
         let later_run = last.born_ms > 0 && instance.born_ms > last.born_ms;
         revision.number <= last.revision.number && !later_run
     }
 
-    /// An entry of the store, or what is known of a later state of its server.
-    fn newest_state(&self, listed: Instance) -> Instance {
-        let Some((_, known)) = self.present.get(&listed.id) else {
+    /// The listed entry, or the known one if that is of a later run or state of the instance.
+    fn latest_state(&self, listed: Instance) -> Instance {
+        let Some((_, known)) = self.entries.get(&listed.id) else {
             return listed;
         };
-        let born_known = listed.born_ms > 0 && known.born_ms > 0;
-        if born_known && known.born_ms != listed.born_ms {
+        let runs_known = listed.born_ms > 0 && known.born_ms > 0;
+        if runs_known && known.born_ms != listed.born_ms {
             let newest = [&listed, known].into_iter().max_by_key(|run| run.born_ms);
             return newest.cloned().unwrap_or(listed);
         }
@@ -224,38 +227,38 @@
         }
     }
 
-    /// What a peer lacks that knows everything up to `since`; `None` where that is nothing.
+    /// Changes after `since` for a peer; `None` if there are none.
     pub(in crate::gateway) fn delta(&self, since: StoreRevision) -> Option<RegistryDelta> {
         let upto = self.upto?;
         if since >= upto {
             return None;
         }
-        let whole = since < self.forgotten_upto
+        let is_full = since < self.min_delta_base
             || since.era < upto.era
             || since == StoreRevision::default();
-        let floor = if whole {
+        let base = if is_full {
             StoreRevision::default()
         } else {
             since
         };
-        let present = self.present.values();
-        let departed = self.departed.iter();
+        let present = self.entries.values();
+        let departed = self.tombstones.iter();
         Some(RegistryDelta {
-            since: (!whole).then_some(since),
+            since: (!is_full).then_some(since),
             upto,
             present: present
-                .filter(|(revision, _)| *revision > floor)
+                .filter(|(revision, _)| *revision > base)
                 .cloned()
                 .collect(),
             departed: departed
-                .filter(|(_, departure)| !whole && departure.known_at > floor)
-                .map(|(id, departure)| (departure.revision, id.clone()))
+                .filter(|(_, tombstone)| !is_full && tombstone.observed_at > base)
+                .map(|(id, tombstone)| (tombstone.revision, id.clone()))
                 .collect(),
         })
     }
 
-    /// Takes what a peer sent.
-    pub(in crate::gateway) fn take_delta(
+    /// Applies a delta of a peer. Ignores a delta that starts after the registry's own revision.
+    pub(in crate::gateway) fn apply_delta(
         &mut self,
         now: Timestamp,
         delta: RegistryDelta,
@@ -263,61 +266,61 @@
         let Some(since) = delta.since else {
             return self.replace(now, delta.present, delta.upto);
         };
-        let unknown = self.upto.is_none_or(|upto| upto < since);
-        if unknown || self.is_over(delta.upto) {
+        let has_gap = self.upto.is_none_or(|upto| upto < since);
+        if has_gap || self.is_from_earlier_era(delta.upto) {
             return Vec::new();
         }
         let mut changes = Vec::new();
         for (revision, id) in &delta.departed {
-            changes.extend(self.departed(now, *revision, delta.upto, id));
+            changes.extend(self.remove(now, *revision, delta.upto, id));
         }
         for (revision, instance) in delta.present {
-            changes.extend(self.present(revision, instance));
+            changes.extend(self.upsert(revision, instance));
         }
-        self.known_upto(delta.upto);
+        self.advance_to(delta.upto);
         changes
     }
 
-    /// Lets go of instances whose entries stayed for long enough; gives these.
+    /// Marks instances ready whose hold period is over; returns their changes.
     pub(in crate::gateway) fn release_held(&mut self, now: Timestamp) -> Vec<RegistryChange> {
         let since_of = |since: &mut Option<Timestamp>| *since.get_or_insert(now);
         let held = self.held.iter_mut();
-        let over = held.filter_map(|(id, since)| {
-            let stayed = now.since(since_of(since)) >= HELD_FOR;
-            stayed.then(|| id.clone())
+        let expired = held.filter_map(|(id, since)| {
+            let is_expired = now.since(since_of(since)) >= HOLD_PERIOD;
+            is_expired.then(|| id.clone())
         });
-        let over: Vec<BackEndId> = over.collect();
+        let expired: Vec<BackEndId> = expired.collect();
         let mut changes = Vec::new();
-        for id in over {
+        for id in expired {
             self.held.remove(&id);
-            if let Some((revision, instance)) = self.present.get_mut(&id) {
+            if let Some((revision, instance)) = self.entries.get_mut(&id) {
                 instance.state = InstanceState::Ready;
-                changes.push(RegistryChange::Present(*revision, instance.clone()));
+                changes.push(RegistryChange::Upserted(*revision, instance.clone()));
             }
         }
         changes
     }
 
-    /// Forgets departures that are older than `kept`.
-    pub(in crate::gateway) fn forget(&mut self, now: Timestamp, kept: Duration) {
-        let forgotten = &mut self.forgotten_upto;
-        self.departed.retain(|_, departure| {
-            let keep = now.since(departure.learnt) <= kept;
+    /// Drops tombstones older than `retention`.
+    pub(in crate::gateway) fn forget(&mut self, now: Timestamp, retention: Duration) {
+        let min_delta_base = &mut self.min_delta_base;
+        self.tombstones.retain(|_, tombstone| {
+            let keep = now.since(tombstone.recorded_at) <= retention;
             if !keep {
-                *forgotten = (*forgotten).max(departure.known_at);
+                *min_delta_base = (*min_delta_base).max(tombstone.observed_at);
             }
             keep
         });
     }
 
-    /// Entries of the instances that are there.
+    /// All entries.
     #[cfg(test)]
     pub(in crate::gateway) fn instances(&self) -> impl Iterator<Item = &Instance> {
-        self.present.values().map(|(_, instance)| instance)
+        self.entries.values().map(|(_, instance)| instance)
     }
 
     /// Number of entries.
     pub(in crate::gateway) fn len(&self) -> usize {
-        self.present.len()
+        self.entries.len()
     }
 }
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -17,7 +17,7 @@
 use thornbridge_proto::peer::view::StoreRevision;
 
 /// Failures in a row beyond which the pause does not grow.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 /// Failures in a row after which a list is given twice the time.
 const FAILURES_PER_TIMEOUT: u32 = 6;
 /// Least part of a pause while nothing is known: nodes that started together are to read at
@@ -70,7 +70,7 @@
     /// Whether peers tell of the view, so that nothing is read.
     following: bool,
     /// When the store last confirmed the view.
-    confirmed: Option<Timestamp>,
+    confirmed_at: Option<Timestamp>,
     /// This node's place in the order of readers.
     rank: usize,
 }
@@ -90,7 +90,7 @@
             last_answer: Timestamp::ZERO,
             reachable: true,
             following: false,
-            confirmed: None,
+            confirmed_at: None,
             rank: 0,
         }
     }
@@ -129,8 +129,8 @@
     }
 
     /// When the store last confirmed the view.
-    pub(in crate::gateway) fn confirmed(&self) -> Option<Timestamp> {
-        self.confirmed
+    pub(in crate::gateway) fn confirmed_at(&self) -> Option<Timestamp> {
+        self.confirmed_at
     }
 
     /// Time since the store last answered a read of this view.
@@ -215,7 +215,7 @@
                 }
                 self.at = Some(first);
                 self.first_page = None;
-                self.confirmed = Some(now);
+                self.confirmed_at = Some(now);
                 Some(SourceNews::Whole(std::mem::take(&mut self.pages), first))
             }
             SourceReply::Changes { objects, at } => {
@@ -225,7 +225,7 @@
                     self.at = None;
                     return None;
                 }
-                self.confirmed = Some(now);
+                self.confirmed_at = Some(now);
                 self.at = Some(at.max(known));
                 Some(SourceNews::Changes(objects, at))
             }
@@ -247,7 +247,7 @@
                 (SourceRead::Watch { from, wait }, timeout)
             }
             None => {
-                let doublings = (self.failures / FAILURES_PER_TIMEOUT).min(MOST_DOUBLINGS);
+                let doublings = (self.failures / FAILURES_PER_TIMEOUT).min(MAX_DOUBLINGS);
                 let timeout = self.parameters.first_read_timeout * 2_u32.pow(doublings);
                 let timeout = timeout.min(self.parameters.read_timeout);
                 self.doing = Doing::Listing(now + timeout);
@@ -301,7 +301,7 @@
     /// Longest pause after this failure.
     fn backoff(&self) -> Duration {
         let parameters = &self.parameters;
-        let doublings = self.failures.min(MOST_DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         let pause = match self.at {
             None => parameters.unknown_backoff,
             Some(_) => parameters.first_backoff * 2_u32.pow(doublings),
