--- a/crates/thornbridge-core/src/gateway/awaiting.rs
+++ b/crates/thornbridge-core/src/gateway/awaiting.rs
@@ -1,9 +1,9 @@
-//! Requests that came before any configuration was known.
+//! Requests that arrive before any configuration is known.
 //!
-//! A node that has just started knows a configuration within milliseconds, unless the store is
-//! away. Then a caller's first try is told when to come back: at once where it is known to be the
-//! first, else after a bounded part of its patience. A later try waits until its caller leaves,
-//! since its caller does not come again.
+//! A starting node learns the configuration within milliseconds unless the store is unavailable. A
+//! caller's first try is refused with a retry time: at once if it is known to be the first,
+//! otherwise after a share of its patience. A caller's retry is kept until its patience ends,
+//! because the caller will not retry again.
 
 use super::event::RequestHead;
 use super::patience::{CallerTry, PatienceByKind};
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Patience of a caller that gives none.
+/// Assumed patience of a caller that states none.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(3);
-/// Time after a start in which the views come where the store answers.
-const VIEWS_COME: Duration = Duration::from_millis(150);
-/// Part of a caller's patience after which a later try is over: it could not be served any more.
-const LATER_TRY_SHARE: f64 = 0.97;
+/// Time after start within which the views arrive if the store answers.
+const VIEW_LOAD_TIME: Duration = Duration::from_millis(150);
+/// Share of the patience after which a caller's retry cannot be served any more.
+const RETRY_PATIENCE_SHARE: f64 = 0.97;
 
 /// A request that waits for a configuration.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     pub(super) caller: CallerId,
     pub(super) head: RequestHead,
     pub(super) arrived: Timestamp,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl AwaitingRequest {
@@ -33,13 +33,13 @@
         self.head.patience.unwrap_or(DEFAULT_PATIENCE)
     }
 
-    /// When its caller cannot be served any more.
-    fn over(&self) -> Timestamp {
-        self.arrived + self.patience().mul_f64(LATER_TRY_SHARE)
+    /// When the request cannot be served any more.
+    fn patience_deadline(&self) -> Timestamp {
+        self.arrived + self.patience().mul_f64(RETRY_PATIENCE_SHARE)
     }
 }
 
-/// All requests that wait for a configuration.
+/// Requests that wait for a configuration.
 #[derive(Debug, Default)]
 pub(super) struct Awaiting {
     requests: BTreeMap<CallerId, AwaitingRequest>,
@@ -47,8 +47,8 @@
 }
 
 impl Awaiting {
-    /// Takes a request, for this share of its patience where it is not a later try. Gives it back
-    /// where its caller is to be told at once to come back.
+    /// Adds a request that waits for `share` of its patience unless it is a caller's retry. Returns
+    /// the request if its caller is to be refused at once.
     #[must_use]
     pub(super) fn add(
         &mut self,
@@ -63,10 +63,10 @@
             caller,
             head,
             arrived: now,
-            until: now + patience.mul_f64(share),
+            expires_at: now + patience.mul_f64(share),
         };
         let first = self.judge(&request) == CallerTry::First;
-        if first && now.since_epoch() >= VIEWS_COME {
+        if first && now.since_epoch() >= VIEW_LOAD_TIME {
             return Some(request);
         }
         self.requests.insert(caller, request);
@@ -78,45 +78,47 @@
         self.patience.judge(&request.head, request.patience())
     }
 
-    /// Requests that wait.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The caller went away.
+    /// Removes the request of a caller that disconnected.
     pub(super) fn caller_gone(&mut self, caller: CallerId) {
         self.requests.remove(&caller);
     }
 
-    /// When the next one has waited for long enough.
+    /// When the next request expires.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        self.requests.values().map(|request| request.until).min()
+        self.requests
+            .values()
+            .map(|request| request.expires_at)
+            .min()
     }
 
-    /// Those that have waited for long enough. A later try waits on.
+    /// Removes and returns the expired requests. A caller's retry is extended to the end of its
+    /// patience.
     pub(super) fn take_overdue(&mut self, now: Timestamp) -> Vec<AwaitingRequest> {
         let patience = &self.patience;
         for request in self.requests.values_mut() {
-            let over = request.over();
-            if request.until > now || request.until >= over {
+            let patience_deadline = request.patience_deadline();
+            if request.expires_at > now || request.expires_at >= patience_deadline {
                 continue;
             }
             if patience.judge(&request.head, request.patience()) == CallerTry::Later {
-                request.until = over;
+                request.expires_at = patience_deadline;
             }
         }
-        let overdue = self
+        let expired = self
             .requests
             .values()
-            .filter(|request| request.until <= now);
-        let overdue: Vec<CallerId> = overdue.map(|request| request.caller).collect();
-        let taken = overdue.iter();
-        taken
-            .filter_map(|caller| self.requests.remove(caller))
+            .filter(|request| request.expires_at <= now);
+        let expired: Vec<CallerId> = expired.map(|request| request.caller).collect();
+        let ids = expired.iter();
+        ids.filter_map(|caller| self.requests.remove(caller))
             .collect()
     }
 
-    /// All of them, as they came.
+    /// Removes and returns all requests.
     pub(super) fn take_all(&mut self) -> Vec<AwaitingRequest> {
         std::mem::take(&mut self.requests).into_values().collect()
     }
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -1,7 +1,7 @@
-//! When a request can be answered, and with what.
+//! When a request is answered, and with what.
 
-use super::leg::{Leg, LegState};
 use super::merging::greatest_records;
+use super::part::{Part, PartState};
 use super::request::{Progress, Request};
 use super::slice::Slice;
 use super::{Exchanges, Scope};
@@ -16,21 +16,21 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// The answer of a request, where it can be answered now.
+/// Answer of a request, if it can be answered now.
 pub(super) fn answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
 ) -> Option<GatewayAnswer> {
     match &request.route.target {
-        ResolvedTarget::Gather(gather) => gathered(parameters, now, request, gather),
+        ResolvedTarget::Gather(gather) => gather_answer(parameters, now, request, gather),
         ResolvedTarget::Service(_) | ResolvedTarget::Split(_) => {
-            plain(parameters, now, request, request.legs.first()?)
+            single_part_answer(parameters, now, request, request.parts.first()?)
         }
     }
 }
 
-fn gathered(
+fn gather_answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
@@ -39,23 +39,23 @@
     let progress = request.progress();
     let enough = progress.answered >= gather.least_parts;
     let complete = progress.pending() == 0;
-    if enough && (complete || now >= request.answer_by) {
-        return Some(merge(request, gather, progress));
+    if enough && (complete || now >= request.soft_deadline) {
+        return Some(merged_answer(request, gather, progress));
     }
-    // A caller that comes back is served sooner than nodes that are silent answer, if they do.
-    let hopeless = match request.is_last_try() {
+    // A caller that will retry is served sooner by its retry than by silent owners.
+    let stalled = match request.is_caller_retry() {
         true => 0,
-        false => request.stuck(),
+        false => request.stalled_parts(),
     };
-    if progress.answered + progress.pending() < gather.least_parts + hopeless {
+    if progress.answered + progress.pending() < gather.least_parts + stalled {
         return Some(refusal(parameters, request, RefusalReason::TooFewShards));
     }
-    (now >= request.ends).then(|| refusal(parameters, request, RefusalReason::TimedOut))
+    (now >= request.deadline).then(|| refusal(parameters, request, RefusalReason::TimedOut))
 }
 
-fn merge(request: &Request, gather: &ResolvedGather, progress: Progress) -> GatewayAnswer {
-    let signatures: Vec<Bytes> = request.legs.iter().filter_map(signature_of).collect();
-    let replies = request.legs.iter().filter_map(reply_of);
+fn merged_answer(request: &Request, gather: &ResolvedGather, progress: Progress) -> GatewayAnswer {
+    let signatures: Vec<Bytes> = request.parts.iter().filter_map(signature_of).collect();
+    let replies = request.parts.iter().filter_map(reply_of);
     let reports = request.slices.iter().flat_map(Slice::records);
     let bodies = replies.map(|reply| &reply.body).chain(reports);
     GatewayAnswer::Gathered {
@@ -65,35 +65,35 @@
     }
 }
 
-fn signature_of(leg: &Leg) -> Option<Bytes> {
-    match &leg.state {
-        LegState::Answered(reply) => reply.signature.clone(),
-        LegState::Reported(signature) => Some(signature.clone()),
+fn signature_of(part: &Part) -> Option<Bytes> {
+    match &part.state {
+        PartState::Answered(reply) => reply.signature.clone(),
+        PartState::AnsweredByOwner(signature) => Some(signature.clone()),
         _ => None,
     }
 }
 
-fn reply_of(leg: &Leg) -> Option<&ServerReply> {
-    match &leg.state {
-        LegState::Answered(reply) => Some(reply),
+fn reply_of(part: &Part) -> Option<&ServerReply> {
+    match &part.state {
+        PartState::Answered(reply) => Some(reply),
         _ => None,
     }
 }
 
-fn plain(
+fn single_part_answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
-    leg: &Leg,
+    part: &Part,
 ) -> Option<GatewayAnswer> {
-    if let Some(reply) = reply_of(leg) {
-        return Some(forwarded(reply));
+    if let Some(reply) = reply_of(part) {
+        return Some(forwarded_answer(reply));
     }
-    if leg.is_failed() {
-        if let Some(reply) = &leg.failed_reply {
-            return Some(forwarded(reply));
+    if part.is_failed() {
+        if let Some(reply) = &part.failed_reply {
+            return Some(forwarded_answer(reply));
         }
-        let reason = match leg.failure {
+        let reason = match part.last_failure {
             None => RefusalReason::NoServer,
             Some(AttemptOutcome::NotRun | AttemptOutcome::WrongInstance) => {
                 RefusalReason::ServersBusy
@@ -102,10 +102,10 @@
         };
         return Some(refusal(parameters, request, reason));
     }
-    (now >= request.ends).then(|| refusal(parameters, request, RefusalReason::TimedOut))
+    (now >= request.deadline).then(|| refusal(parameters, request, RefusalReason::TimedOut))
 }
 
-fn forwarded(reply: &ServerReply) -> GatewayAnswer {
+fn forwarded_answer(reply: &ServerReply) -> GatewayAnswer {
     GatewayAnswer::Forwarded {
         status: reply.status,
         headers: reply.headers.clone(),
@@ -113,7 +113,7 @@
     }
 }
 
-/// A refusal, with a promise that holds.
+/// Refusal whose promise reflects whether the request may have run.
 fn refusal(
     parameters: &ExchangeParameters,
     request: &Request,
@@ -132,11 +132,11 @@
     }
 }
 
-/// The refusal of a request that crashes servers, while it will be refused for so long.
-pub(super) fn crashes_servers(request: &Request, lasts: Duration) -> GatewayAnswer {
+/// Refusal of a request that crashes servers, for the `remaining` time of its quarantine.
+pub(super) fn crash_refusal(request: &Request, remaining: Duration) -> GatewayAnswer {
     let (promise, retry_after) = match request.may_have_run() {
         true => (RefusalPromise::MayHaveRun, None),
-        false => (RefusalPromise::NotRun, Some(lasts)),
+        false => (RefusalPromise::NotRun, Some(remaining)),
     };
     GatewayAnswer::Refused {
         reason: RefusalReason::CrashesServers,
@@ -145,7 +145,7 @@
     }
 }
 
-/// When a refused caller is to come back.
+/// Time after which a refused caller should retry.
 pub(super) fn retry_after(answer: &GatewayAnswer) -> Option<Duration> {
     match answer {
         GatewayAnswer::Refused { retry_after, .. } => *retry_after,
@@ -153,7 +153,7 @@
     }
 }
 
-/// The outcome of an answer in a word.
+/// Outcome of an answer, for the log.
 pub(super) fn outcome(answer: &GatewayAnswer) -> &'static str {
     match answer {
         GatewayAnswer::Forwarded { status, .. } if *status >= 500 => "server_failure",
@@ -165,7 +165,7 @@
 }
 
 impl Exchanges {
-    /// Refuses a request before anything is done for it.
+    /// Refuses a request before any attempt.
     pub(super) fn refuse_unstarted(
         &mut self,
         scope: &mut Scope<'_>,
@@ -201,8 +201,8 @@
             .push_back(GatewayAction::Answer { caller, answer });
     }
 
-    /// Tells the log how a request ended.
-    pub(super) fn note(
+    /// Logs how a request ended.
+    pub(super) fn log_outcome(
         &self,
         scope: &mut Scope<'_>,
         request: &Request,
@@ -219,13 +219,13 @@
             version: request.route.version,
             registry: scope.registry,
             took: scope.now.since(request.arrived),
-            objective: request.answer_by.since(request.arrived),
+            objective: request.soft_deadline.since(request.arrived),
             parts: progress.answered,
             of: progress.all,
             outcome,
             notable,
-            attempts: request.legs.iter().map(|leg| leg.sent as usize).sum(),
-            denied: request.denied,
+            attempts: request.parts.iter().map(|part| part.sent as usize).sum(),
+            denied: request.budget_denials,
             caller_try: request.caller_try,
             retry_after,
             coordinator: request.coordinator(),
@@ -240,8 +240,8 @@
         request: &Request,
         notable: &mut Vec<AttemptNote>,
     ) {
-        let unanswered = request.legs.iter().filter(|leg| !leg.is_answered());
-        let queued = unanswered.clone().filter_map(|leg| leg.queued_at());
+        let unanswered = request.parts.iter().filter(|part| !part.is_answered());
+        let queued = unanswered.clone().filter_map(|part| part.queued_at());
         for (server, cause) in queued {
             let Some(server) = scope.servers.get(server) else {
                 continue;
@@ -254,11 +254,11 @@
                 took: None,
             });
         }
-        for attempt in unanswered.flat_map(|leg| &leg.open) {
+        for attempt in unanswered.flat_map(|part| &part.in_flight) {
             let Some(record) = self.attempts.get(attempt) else {
                 continue;
             };
-            let Some(server) = scope.servers.get(record.carrier.server) else {
+            let Some(server) = scope.servers.get(record.target.server) else {
                 continue;
             };
             notable.push(AttemptNote {
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -1,9 +1,9 @@
-//! Attempts: their answers and failures, and what is learnt from them.
+//! Results of attempts, and the server statistics derived from them.
 
-use super::dispatching::remove_open;
-use super::leg::LegState;
+use super::dispatching::remove_in_flight;
+use super::part::PartState;
 use super::request::Request;
-use super::{Carrier, Exchanges, Scope};
+use super::{AttemptTarget, Exchanges, Scope};
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::event::{ExchangeFailure, ReplyVerdict, ServerReply};
@@ -15,43 +15,43 @@
 use thornbridge_proto::AttemptId;
 use thornbridge_proto::fingerprint::Fingerprint;
 
-/// First status of a server's own failure.
-const SERVER_FAILURE: u16 = 500;
-/// Failure cost from which a server counts as avoided, for the log.
-const AVOIDED_COST: Duration = Duration::from_millis(100);
+/// Lowest status that counts as a server failure.
+const FIRST_SERVER_ERROR_STATUS: u16 = 500;
+/// Failure cost from which a server is logged as avoided.
+const AVOIDED_FAILURE_COST: Duration = Duration::from_millis(100);
 
-/// An attempt that has not ended.
+/// An in-flight attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
-    /// Whom it is for; `None` once the request was answered or given up.
+    /// Caller to serve; `None` once the request was answered or dropped.
     pub(super) caller: Option<CallerId>,
-    pub(super) leg: usize,
+    pub(super) part: usize,
     pub(super) route: RouteKey,
-    pub(super) carrier: Carrier,
+    pub(super) target: AttemptTarget,
     pub(super) sent: Timestamp,
     pub(super) cause: AttemptCause,
-    pub(super) cut_at: Option<Timestamp>,
-    /// Request that is suspected if the server crashes; `None` where one has answered it.
+    pub(super) cancel_at: Option<Timestamp>,
+    /// Request to suspect if the server crashes; `None` once any server answered it.
     pub(super) suspect: Option<Fingerprint>,
 }
 
 impl Exchanges {
-    /// A server answered.
+    /// Handles a server's reply.
     pub(in crate::gateway) fn replied(
         &mut self,
         scope: &mut Scope<'_>,
         attempt: AttemptId,
         reply: Box<ServerReply>,
     ) {
-        let Some(record) = self.take_attempt(scope, attempt) else {
+        let Some(record) = self.remove_attempt(scope, attempt) else {
             return;
         };
         let outcome = outcome_of(&reply);
         if let (AttemptOutcome::Answered, Some(fingerprint)) = (outcome, record.suspect) {
             scope.quarantine.answered(scope.now, fingerprint);
         }
-        self.learn(scope, &record, &reply, outcome);
-        let Carrier { server, connection } = record.carrier;
+        self.observe_reply(scope, &record, &reply, outcome);
+        let AttemptTarget { server, connection } = record.target;
         if reply.reusable {
             scope
                 .servers
@@ -59,22 +59,22 @@
         } else {
             scope.servers.close(scope.actions, connection);
         }
-        self.ended(scope, attempt, &record, outcome, Some(reply));
-        self.serve_waiting(scope, server);
+        self.attempt_ended(scope, attempt, &record, outcome, Some(reply));
+        self.dispatch_waiting(scope, server);
         scope.servers.forget_if_over(server);
     }
 
-    /// An attempt ended without an answer.
+    /// Handles an attempt that ended without a reply.
     pub(in crate::gateway) fn failed(
         &mut self,
         scope: &mut Scope<'_>,
         attempt: AttemptId,
         failure: ExchangeFailure,
     ) {
-        let Some(record) = self.take_attempt(scope, attempt) else {
+        let Some(record) = self.remove_attempt(scope, attempt) else {
             return;
         };
-        let Carrier { server, connection } = record.carrier;
+        let AttemptTarget { server, connection } = record.target;
         scope.servers.broke(scope.now, connection);
         let outcome = match failure {
             ExchangeFailure::NotSent => AttemptOutcome::NotRun,
@@ -82,15 +82,15 @@
         };
         if failure == ExchangeFailure::MayHaveRun {
             let cost = scope.servers.parameters.failure_cost;
-            self.distrust(scope, server, cost, "broken");
-            self.suspect(scope, &record);
+            self.penalize(scope, server, cost, "broken");
+            self.report_crash(scope, &record);
         }
-        self.ended(scope, attempt, &record, outcome, None);
-        self.serve_waiting(scope, server);
+        self.attempt_ended(scope, attempt, &record, outcome, None);
+        self.dispatch_waiting(scope, server);
         scope.servers.forget_if_over(server);
     }
 
-    /// A connection opened.
+    /// Dispatches waiting parts on a new connection.
     pub(in crate::gateway) fn connection_opened(
         &mut self,
         scope: &mut Scope<'_>,
@@ -98,18 +98,18 @@
         took: Duration,
     ) {
         if let Some(server) = scope.servers.opened(scope.now, connection, took) {
-            self.serve_waiting(scope, server);
+            self.dispatch_waiting(scope, server);
         }
     }
 
-    /// Connections that were being proved may carry requests.
+    /// Dispatches waiting parts on connections whose probation ended.
     pub(in crate::gateway) fn connections_proved(&mut self, scope: &mut Scope<'_>) {
         for server in scope.servers.proved(scope.now) {
-            self.serve_waiting(scope, server);
+            self.dispatch_waiting(scope, server);
         }
     }
 
-    /// A connection was lost, or could not be opened.
+    /// Handles a connection that broke or could not be opened.
     pub(in crate::gateway) fn connection_lost(
         &mut self,
         scope: &mut Scope<'_>,
@@ -119,68 +119,73 @@
             return;
         };
         if loss == Loss::Unreachable {
-            self.tell_trust(scope, server, "unreachable");
+            self.report_avoidance(scope, server, "unreachable");
         }
         if loss != Loss::Rested {
-            self.strand_waiting(scope, server);
+            self.requeue_waiting(scope, server);
         }
         scope.servers.forget_if_over(server);
     }
 
-    /// A server takes nothing new any more.
+    /// Requeues the parts waiting for a server that accepts no new requests.
     pub(in crate::gateway) fn server_left(&mut self, scope: &mut Scope<'_>, server: ServerKey) {
-        self.strand_waiting(scope, server);
+        self.requeue_waiting(scope, server);
         scope.servers.forget_if_over(server);
     }
 
-    /// Cuts an attempt off whose request is over.
-    pub(super) fn cut(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) {
-        let Some(record) = self.take_attempt(scope, attempt) else {
+    /// Cancels an attempt of a finished request.
+    pub(super) fn cancel_attempt(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) {
+        let Some(record) = self.remove_attempt(scope, attempt) else {
             return;
         };
-        let Carrier { server, connection } = record.carrier;
+        let AttemptTarget { server, connection } = record.target;
         scope.servers.close(scope.actions, connection);
-        self.distrust(
+        self.penalize(
             scope,
             server,
             scope.servers.parameters.failure_cost,
             "no_answer",
         );
-        self.serve_waiting(scope, server);
+        self.dispatch_waiting(scope, server);
         scope.servers.forget_if_over(server);
     }
 
-    /// The request of these attempts is over: whatever still runs is cut off later.
-    pub(super) fn abandon(&mut self, scope: &mut Scope<'_>, request: &Request, cut_at: Timestamp) {
+    /// Detaches the attempts of a finished request and schedules their cancellation.
+    pub(super) fn abandon_attempts(
+        &mut self,
+        scope: &mut Scope<'_>,
+        request: &Request,
+        cancel_at: Timestamp,
+    ) {
         let suspect = (!request.has_answer()).then_some(request.fingerprint);
-        for (index, leg) in request.legs.iter().enumerate() {
-            if let LegState::Queued(server, _) = leg.state {
+        for (index, part) in request.parts.iter().enumerate() {
+            if let PartState::Queued(server, _) = part.state {
                 scope.servers.stop_waiting(server, request.caller, index);
             }
-            for attempt in &leg.open {
+            for attempt in &part.in_flight {
                 if let Some(record) = self.attempts.get_mut(attempt) {
                     record.caller = None;
                     record.suspect = suspect;
-                    record.cut_at = Some(cut_at);
-                    self.cuts.insert((cut_at, *attempt));
+                    record.cancel_at = Some(cancel_at);
+                    self.cancellations.insert((cancel_at, *attempt));
                 }
             }
         }
     }
 
-    fn take_attempt(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) -> Option<Attempt> {
+    fn remove_attempt(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) -> Option<Attempt> {
         let record = self.attempts.remove(&attempt)?;
-        if let Some(cut_at) = record.cut_at {
-            self.cuts.remove(&(cut_at, attempt));
+        if let Some(cancel_at) = record.cancel_at {
+            self.cancellations.remove(&(cancel_at, attempt));
         }
-        if let Some(server) = scope.servers.get_mut(record.carrier.server) {
+        if let Some(server) = scope.servers.get_mut(record.target.server) {
             server.ended(attempt);
         }
         Some(record)
     }
 
-    /// Takes the end of an attempt into its request.
-    fn ended(
+    /// Applies the result of an attempt to its request.
+    fn attempt_ended(
         &mut self,
         scope: &mut Scope<'_>,
         attempt: AttemptId,
@@ -194,13 +199,13 @@
         let Some(mut request) = self.requests.remove(&caller) else {
             return;
         };
-        note_attempt(scope, &mut request, record, outcome);
-        let leg = &mut request.legs[record.leg];
-        remove_open(&mut leg.open, attempt);
+        record_attempt(scope, &mut request, record, outcome);
+        let part = &mut request.parts[record.part];
+        remove_in_flight(&mut part.in_flight, attempt);
         match (outcome, reply) {
             (AttemptOutcome::Answered, Some(reply)) => {
-                if !leg.is_over() {
-                    leg.state = LegState::Answered(reply);
+                if !part.is_finished() {
+                    part.state = PartState::Answered(reply);
                 }
             }
             (outcome, reply) => self.attempt_failed(&mut request, record, outcome, reply),
@@ -216,40 +221,43 @@
         outcome: AttemptOutcome,
         reply: Option<Box<ServerReply>>,
     ) {
-        let index = record.leg;
-        let leg = &mut request.legs[index];
-        leg.failure = Some(outcome);
-        let never_left = outcome == AttemptOutcome::NotRun && reply.is_none();
-        if never_left {
-            // It counts against no limit, and its server may get the part yet.
-            leg.sent -= 1;
-            leg.tried.retain(|server| *server != record.carrier.server);
+        let index = record.part;
+        let part = &mut request.parts[index];
+        part.last_failure = Some(outcome);
+        let never_sent = outcome == AttemptOutcome::NotRun && reply.is_none();
+        if never_sent {
+            // An unsent attempt counts against no limit, and its server stays eligible.
+            part.sent -= 1;
+            part.tried.retain(|server| *server != record.target.server);
         } else if matches!(
             outcome,
             AttemptOutcome::NotRun | AttemptOutcome::WrongInstance
         ) {
-            leg.not_run += 1;
+            part.not_run += 1;
         }
         if outcome == AttemptOutcome::ServerFailure {
-            leg.failed_reply = reply;
+            part.failed_reply = reply;
         }
-        if leg.is_over() || !leg.open.is_empty() || matches!(leg.state, LegState::Queued(..)) {
+        if part.is_finished()
+            || !part.in_flight.is_empty()
+            || matches!(part.state, PartState::Queued(..))
+        {
             return;
         }
-        if self.may_send_more(request, index) {
-            let leg = &mut request.legs[index];
-            leg.state = LegState::Wanting(AttemptCause::Retry);
-            leg.look_at = None;
+        if self.allows_another_attempt(request, index) {
+            let part = &mut request.parts[index];
+            part.state = PartState::NeedsAttempt(AttemptCause::Retry);
+            part.check_at = None;
         } else if request.awaits_grant() {
-            request.legs[index].state = LegState::AwaitingGrant;
+            request.parts[index].state = PartState::AwaitingGrant;
             request.request_grant();
         } else {
-            request.legs[index].state = LegState::Failed;
+            request.parts[index].state = PartState::Failed;
         }
     }
 
-    /// Learns speed and load from an answer.
-    fn learn(
+    /// Updates speed, load and rejection statistics from a reply.
+    fn observe_reply(
         &mut self,
         scope: &mut Scope<'_>,
         record: &Attempt,
@@ -258,9 +266,9 @@
     ) {
         let now = scope.now;
         let took = now.since(record.sent);
-        let usual = scope.routes.statistics(record.route).work.mean();
+        let mean_work = scope.routes.statistics(record.route).work.mean();
         let parameters = scope.servers.parameters.clone();
-        let Some(server) = scope.servers.get_mut(record.carrier.server) else {
+        let Some(server) = scope.servers.get_mut(record.target.server) else {
             return;
         };
         if let Some(load) = reply.load {
@@ -272,33 +280,33 @@
             AttemptOutcome::Answered => {
                 let work = took.saturating_sub(server.round_trip());
                 let speed = server.speed(&parameters, now);
-                if let Some(usual) = usual {
-                    server.observe_speed(&parameters, now, work, usual);
+                if let Some(mean_work) = mean_work {
+                    server.observe_speed(&parameters, now, work, mean_work);
                 }
-                let normal = work.div_f64(speed.max(0.1));
+                let normalized = work.div_f64(speed.max(0.1));
                 let statistics = scope.routes.statistics(record.route);
-                statistics.work.observe(&parameters, normal);
+                statistics.work.observe(&parameters, normalized);
             }
             AttemptOutcome::NotRun => {
-                self.distrust(
+                self.penalize(
                     scope,
-                    record.carrier.server,
+                    record.target.server,
                     parameters.failure_cost / 2,
                     "shed",
                 );
             }
             AttemptOutcome::WrongInstance => {
-                self.distrust(
+                self.penalize(
                     scope,
-                    record.carrier.server,
+                    record.target.server,
                     parameters.unreachable_cost * 4,
                     "wrong_instance",
                 );
             }
             AttemptOutcome::ServerFailure | AttemptOutcome::Spoilt => {
-                self.distrust(
+                self.penalize(
                     scope,
-                    record.carrier.server,
+                    record.target.server,
                     parameters.failure_cost / 2,
                     "failed",
                 );
@@ -307,7 +315,7 @@
         }
     }
 
-    fn distrust(
+    fn penalize(
         &mut self,
         scope: &mut Scope<'_>,
         key: ServerKey,
@@ -318,16 +326,16 @@
         if let Some(server) = scope.servers.get_mut(key) {
             server.failed(&parameters, scope.now, cost);
         }
-        self.tell_trust(scope, key, cause);
+        self.report_avoidance(scope, key, cause);
     }
 
-    /// Tells the log when a server begins or ceases to be avoided.
-    fn tell_trust(&mut self, scope: &mut Scope<'_>, key: ServerKey, cause: &'static str) {
+    /// Logs when a server starts or stops being avoided.
+    fn report_avoidance(&mut self, scope: &mut Scope<'_>, key: ServerKey, cause: &'static str) {
         let parameters = scope.servers.parameters.clone();
         let Some(server) = scope.servers.get_mut(key) else {
             return;
         };
-        let avoided = server.failure_cost(&parameters, scope.now) >= AVOIDED_COST;
+        let avoided = server.failure_cost(&parameters, scope.now) >= AVOIDED_FAILURE_COST;
         if avoided == server.avoided {
             return;
         }
@@ -346,22 +354,25 @@
         ReplyVerdict::NotRun => AttemptOutcome::NotRun,
         ReplyVerdict::WrongInstance => AttemptOutcome::WrongInstance,
         ReplyVerdict::Spoilt => AttemptOutcome::Spoilt,
-        ReplyVerdict::Answer if reply.status >= SERVER_FAILURE => AttemptOutcome::ServerFailure,
+        ReplyVerdict::Answer if reply.status >= FIRST_SERVER_ERROR_STATUS => {
+            AttemptOutcome::ServerFailure
+        }
         ReplyVerdict::Answer => AttemptOutcome::Answered,
     }
 }
 
-fn note_attempt(
+fn record_attempt(
     scope: &mut Scope<'_>,
     request: &mut Request,
     record: &Attempt,
     outcome: AttemptOutcome,
 ) {
-    let plain = outcome == AttemptOutcome::Answered && record.cause == AttemptCause::First;
-    if plain {
+    let first_succeeded =
+        outcome == AttemptOutcome::Answered && record.cause == AttemptCause::First;
+    if first_succeeded {
         return;
     }
-    let Some(server) = scope.servers.get(record.carrier.server) else {
+    let Some(server) = scope.servers.get(record.target.server) else {
         return;
     };
     request.notes.push(AttemptNote {
--- a/crates/thornbridge-core/src/gateway/exchange/caution.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/crash_suspects.rs
@@ -1,8 +1,8 @@
-//! Requests under which servers crashed: to which servers they still go, and how they are given up.
+//! Sending restrictions for requests suspected of crashing servers, and their refusal.
 
-use super::answering::crashes_servers;
+use super::answering::crash_refusal;
 use super::attempts::Attempt;
-use super::leg::{Leg, LegState};
+use super::part::{Part, PartState};
 use super::request::{Origin, Request};
 use super::{Exchanges, Scope};
 use crate::driver_action::CallerId;
@@ -15,53 +15,52 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceTask;
 
-/// Time between looks at a request that servers crashed under: what other nodes tell of it is no event
-/// of its own.
-const CAREFUL_LOOK: Duration = Duration::from_millis(20);
-/// Least time between looks at a request.
-const LEAST_LOOK: Duration = Duration::from_millis(1);
+/// Interval between checks of a suspected request: news from peers triggers no check.
+const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Minimum interval between checks of a request.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Request {
-    /// Whether a server has answered a part of it: then it is not what makes servers crash.
+    /// Whether any server answered a part, which clears the request of suspicion.
     pub(super) fn has_answer(&self) -> bool {
-        self.legs.iter().any(Leg::is_answered)
+        self.parts.iter().any(Part::is_answered)
     }
 
-    fn has_open_attempt(&self) -> bool {
-        self.legs.iter().any(|leg| !leg.open.is_empty())
+    fn has_attempt_in_flight(&self) -> bool {
+        self.parts.iter().any(|part| !part.in_flight.is_empty())
     }
 
-    /// When it is to be looked at, if no attempt ends before.
-    pub(super) fn next_look_by(&self, caution: Caution, now: Timestamp) -> Timestamp {
-        let look = match caution {
-            Caution::None => self.next_look(now),
-            _ => (now + CAREFUL_LOOK).min(self.ends),
+    /// When to check the request next, unless an attempt ends first.
+    pub(super) fn next_check_under(&self, caution: Caution, now: Timestamp) -> Timestamp {
+        let check_at = match caution {
+            Caution::None => self.next_check(now),
+            _ => (now + SUSPECT_CHECK_INTERVAL).min(self.deadline),
         };
-        look.max(now + LEAST_LOOK)
+        check_at.max(now + MIN_CHECK_INTERVAL)
     }
 
-    /// Whether it is given up.
-    pub(super) fn is_over_by(&self, caution: Caution) -> bool {
+    /// Whether the request is to be given up.
+    pub(super) fn is_abandoned_under(&self, caution: Caution) -> bool {
         match caution {
             Caution::None | Caution::OneAtATime => false,
-            Caution::NoMore => !self.has_open_attempt(),
+            Caution::NoMore => !self.has_attempt_in_flight(),
             Caution::Refuse => true,
         }
     }
 }
 
 impl Exchanges {
-    /// Whether a request may be sent to another server now.
+    /// Whether the request may be sent to another server now.
     pub(super) fn may_send_now(scope: &Scope<'_>, request: &Request) -> bool {
         match scope.quarantine.caution(scope.now, request.fingerprint) {
             Caution::None => true,
-            Caution::OneAtATime => !request.has_open_attempt(),
+            Caution::OneAtATime => !request.has_attempt_in_flight(),
             Caution::NoMore | Caution::Refuse => false,
         }
     }
 
-    /// Refuses a slice of a request that crashes servers. Told of that first, its coordinator asks no
-    /// other owner.
+    /// Refuses a slice of a request that crashes servers. The crash record is sent first, so that
+    /// the coordinator does not ask another owner.
     pub(super) fn refuse_crashing_slice(
         &self,
         scope: &mut Scope<'_>,
@@ -75,7 +74,7 @@
         self.refuse_slice(scope, coordinator, task.slice);
     }
 
-    /// Refuses a request that crashes servers before anything is done for it.
+    /// Refuses a request that crashes servers before any attempt.
     pub(super) fn refuse_crashing(
         &mut self,
         scope: &mut Scope<'_>,
@@ -88,38 +87,38 @@
         self.refuse_unstarted(scope, caller, head, route, reason, lasts);
     }
 
-    /// An attempt broke: takes it as a crash that its request may have caused.
-    pub(super) fn suspect(&self, scope: &mut Scope<'_>, record: &Attempt) {
+    /// Reports a broken attempt as a crash that its request may have caused.
+    pub(super) fn report_crash(&self, scope: &mut Scope<'_>, record: &Attempt) {
         let request = record.caller.and_then(|caller| self.requests.get(&caller));
         let fingerprint = match request {
             Some(request) => (!request.has_answer()).then_some(request.fingerprint),
             None => record.suspect,
         };
-        let server = scope.servers.get(record.carrier.server);
+        let server = scope.servers.get(record.target.server);
         if let (Some(fingerprint), Some(server)) = (fingerprint, server) {
             let run = server.run_id();
             scope.quarantine.crashed(scope.now, fingerprint, &run);
         }
     }
 
-    /// No server gets the request any more: its caller or coordinator is told.
+    /// Ends a request that may be sent to no server any more.
     pub(super) fn give_up(&mut self, scope: &mut Scope<'_>, mut request: Request) {
         scope.quarantine.given_up(scope.now, request.fingerprint);
         if matches!(request.origin, Origin::Caller) {
             let lasts = scope.quarantine.lasts(scope.now, request.fingerprint);
-            let answer = crashes_servers(&request, lasts);
+            let answer = crash_refusal(&request, lasts);
             self.finish(scope, request, answer);
             return;
         }
-        for index in 0..request.legs.len() {
-            if let Some((server, _)) = request.legs[index].queued_at() {
+        for index in 0..request.parts.len() {
+            if let Some((server, _)) = request.parts[index].queued_at() {
                 scope.servers.stop_waiting(server, request.caller, index);
             }
-            if !request.legs[index].is_over() {
-                request.legs[index].state = LegState::Failed;
+            if !request.parts[index].is_finished() {
+                request.parts[index].state = PartState::Failed;
             }
         }
-        self.advance_owned(scope, &mut request);
-        self.finish_owned(scope, request);
+        self.advance_served_slice(scope, &mut request);
+        self.finish_served_slice(scope, request);
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/delay.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/delay.rs
@@ -1,8 +1,8 @@
-//! How long answers wait in this node between the decision and their last byte.
+//! Delay of answers in this node, from the decision to the last byte.
 //!
-//! Guards against answers that are decided in time and leave too late: on a machine with a small
-//! share of a processor an answer waits behind the replies that came in before it. The estimate is
-//! that of RFC 6298, section 2: a smoothed mean and four times the smoothed deviation.
+//! Reserving the delay keeps answers that are decided in time from leaving late on a busy
+//! processor. The estimator is that of RFC 6298, section 2: a smoothed mean plus four smoothed
+//! deviations.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 const MEAN_WEIGHT: f64 = 0.125;
 /// Weight of the newest observation in the deviation (RFC 6298: beta).
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Deviations that are kept as a reserve (RFC 6298: K).
-const DEVIATIONS: f64 = 4.0;
+/// Deviations added to the mean (RFC 6298: K).
+const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Delay of answers, in seconds.
+/// Estimated answer delay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::gateway) struct AnswerDelay {
     mean_s: f64,
@@ -22,7 +22,7 @@
 }
 
 impl AnswerDelay {
-    /// An answer waited this long.
+    /// Records the delay of one answer.
     pub(in crate::gateway) fn observe(&mut self, delay: Duration) {
         let delay_s = delay.as_secs_f64();
         if !self.observed {
@@ -36,13 +36,12 @@
         self.mean_s += (delay_s - self.mean_s) * MEAN_WEIGHT;
     }
 
-    /// Whether anything was observed.
     pub(in crate::gateway) fn is_observed(&self) -> bool {
         self.observed
     }
 
-    /// Time to keep for it.
+    /// Time to reserve for the delay.
     pub(in crate::gateway) fn reserve(&self) -> Duration {
-        Duration::from_secs_f64(self.mean_s + DEVIATIONS * self.deviation_s)
+        Duration::from_secs_f64(self.mean_s + DEVIATION_FACTOR * self.deviation_s)
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -1,23 +1,23 @@
-//! Which server gets a part next, and when.
+//! Choice of the server for a part, and queueing for its connections.
 
 use super::attempts::Attempt;
-use super::leg::LegState;
+use super::part::PartState;
 use super::request::Request;
-use super::{Carrier, Exchanges, Scope, repeatable};
+use super::{AttemptTarget, Exchanges, Scope, repeatable};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
 
-/// Work that is expected before anything is learnt, as a share of the latency objective.
+/// Work expected before any observation, as a share of the latency objective.
 const INITIAL_WORK_SHARE: f64 = 0.15;
-/// Attempts that did not run and do not count against a request's limit.
-const FREE_ATTEMPTS: u32 = 2;
+/// Rejected attempts per part that do not count against the attempt limit.
+const MAX_UNCOUNTED_ATTEMPTS: u32 = 2;
 
 impl Exchanges {
-    /// Does what is due for one part.
-    pub(super) fn advance_leg(
+    /// Runs what is due for one part.
+    pub(super) fn advance_part(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
@@ -26,16 +26,16 @@
         if !Self::may_send_now(scope, request) {
             return;
         }
-        let leg = &request.legs[index];
-        let due = leg.look_at.is_some_and(|time| time <= scope.now);
-        match leg.state {
-            LegState::Wanting(cause) if leg.look_at.is_none() || due => {
+        let part = &request.parts[index];
+        let due = part.check_at.is_some_and(|time| time <= scope.now);
+        match part.state {
+            PartState::NeedsAttempt(cause) if part.check_at.is_none() || due => {
                 self.dispatch(scope, request, index, cause);
             }
-            LegState::Queued(server, cause) if due => {
-                self.queued_too_long(scope, request, index, server, cause);
+            PartState::Queued(server, cause) if due => {
+                self.queue_wait_exceeded(scope, request, index, server, cause);
             }
-            LegState::Running if due => self.hedge(scope, request, index),
+            PartState::InFlight if due => self.hedge(scope, request, index),
             _ => {}
         }
     }
@@ -51,22 +51,22 @@
         let look_interval = self.parameters.look_interval;
         let Some(choice) = self.choose(scope, request, index) else {
             let settling = scope.now.since_epoch() < self.parameters.settling;
-            let waits = settling || request.is_last_try();
-            let leg = &mut request.legs[index];
-            let evacuated = scope.servers.is_evacuated(leg.service);
-            let may_come = leg.sent == 0 && waits && !evacuated;
-            if may_come || scope.servers.has_other_server(leg.service, &leg.tried) {
-                // Its servers cannot be reached or are not registered; one may be soon.
-                leg.look_at = Some(scope.now + look_interval * 2);
+            let waits = settling || request.is_caller_retry();
+            let part = &mut request.parts[index];
+            let evacuated = scope.servers.is_evacuated(part.service);
+            let may_register = part.sent == 0 && waits && !evacuated;
+            if may_register || scope.servers.has_other_server(part.service, &part.tried) {
+                // A server may register or become reachable.
+                part.check_at = Some(scope.now + look_interval * 2);
             } else {
-                leg.state = LegState::Failed;
+                part.state = PartState::Failed;
             }
             return;
         };
         self.queue_or_send(scope, request, index, choice.server, cause);
     }
 
-    /// Sends a part to a server, or queues it there; an extra attempt has to be paid for.
+    /// Sends a part to a server or queues it there, charging the budget for an extra attempt.
     fn queue_or_send(
         &mut self,
         scope: &mut Scope<'_>,
@@ -75,14 +75,14 @@
         server: ServerKey,
         cause: AttemptCause,
     ) {
-        let extra = request.legs[index].is_extra();
-        if extra && !self.pay(scope, request, index) {
+        let extra = request.parts[index].is_extra();
+        if extra && !self.charge_budget(scope, request, index) {
             return;
         }
-        self.queue_or_send_paid(scope, request, index, server, cause);
+        self.queue_or_send_charged(scope, request, index, server, cause);
     }
 
-    fn queue_or_send_paid(
+    fn queue_or_send_charged(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
@@ -95,45 +95,50 @@
             .connection_for(scope.now, scope.actions, server)
         {
             OpenOutcome::Resting(connection) => {
-                let carrier = Carrier { server, connection };
-                self.send(scope, request, index, carrier, cause);
+                let target = AttemptTarget { server, connection };
+                self.send(scope, request, index, target, cause);
             }
             OpenOutcome::Wait => {
-                let expected = self.expected(scope, request, server);
+                let expected = self.expected_latency(scope, request, server);
                 let waiting = Waiting {
                     caller: request.caller,
                     leg: index,
-                    send_by: request.answer_by - expected,
-                    ends: request.ends,
+                    send_by: request.soft_deadline - expected,
+                    ends: request.deadline,
                 };
                 if let Some(server) = scope.servers.get_mut(server) {
                     server.waiting.push(waiting);
                 }
                 let wait = self.hedge_delay(scope, request, server);
-                let leg = &mut request.legs[index];
-                leg.state = LegState::Queued(server, cause);
-                leg.look_at = Some(scope.now + wait);
+                let part = &mut request.parts[index];
+                part.state = PartState::Queued(server, cause);
+                part.check_at = Some(scope.now + wait);
             }
         }
     }
 
-    /// Takes an extra attempt from the budget. Where there is none, the part waits for it; a plain
-    /// request with nothing under way is over, unless its caller does not come back.
-    fn pay(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) -> bool {
-        let leg = &mut request.legs[index];
-        let paid = leg.paid || leg.take_lent(scope.now);
-        if paid || scope.budget.try_take(scope.now, leg.service) {
-            leg.paid = true;
+    /// Charges the budget for an extra attempt. If denied, the part is checked again later; a
+    /// request of one part with no attempt in flight fails instead, unless it is a caller's retry.
+    fn charge_budget(
+        &mut self,
+        scope: &mut Scope<'_>,
+        request: &mut Request,
+        index: usize,
+    ) -> bool {
+        let part = &mut request.parts[index];
+        let charged = part.charged || part.take_lent(scope.now);
+        if charged || scope.budget.try_take(scope.now, part.service) {
+            part.charged = true;
             return true;
         }
-        request.denied += 1;
-        let waits = request.is_gather() || request.is_last_try();
-        let leg = &mut request.legs[index];
-        leg.denied = true;
-        if waits || !leg.open.is_empty() {
-            leg.look_at = Some(scope.now + self.parameters.look_interval * 4);
+        request.budget_denials += 1;
+        let waits = request.is_gather() || request.is_caller_retry();
+        let part = &mut request.parts[index];
+        part.budget_denied = true;
+        if waits || !part.in_flight.is_empty() {
+            part.check_at = Some(scope.now + self.parameters.look_interval * 4);
         } else {
-            leg.state = LegState::Failed;
+            part.state = PartState::Failed;
         }
         false
     }
@@ -143,50 +148,50 @@
         scope: &mut Scope<'_>,
         request: &mut Request,
         index: usize,
-        carrier: Carrier,
+        target: AttemptTarget,
         cause: AttemptCause,
     ) {
         self.next_attempt += 1;
         let attempt = AttemptId(self.next_attempt);
-        let expected = self.expected(scope, request, carrier.server);
-        scope.servers.occupy(carrier.connection, attempt);
+        let expected = self.expected_latency(scope, request, target.server);
+        scope.servers.occupy(target.connection, attempt);
         scope.quarantine.sent(request.fingerprint);
-        let Some(server) = scope.servers.get_mut(carrier.server) else {
+        let Some(server) = scope.servers.get_mut(target.server) else {
             return;
         };
         server.sent(scope.now, attempt, expected);
         let instance = server.id.clone();
         let record = Attempt {
             caller: Some(request.caller),
-            leg: index,
+            part: index,
             route: request.route.key,
-            carrier,
+            target,
             sent: scope.now,
             cause,
-            cut_at: None,
+            cancel_at: None,
             suspect: Some(request.fingerprint),
         };
         self.attempts.insert(attempt, record);
-        let hedge_at = scope.now + self.hedge_delay(scope, request, carrier.server);
+        let hedge_at = scope.now + self.hedge_delay(scope, request, target.server);
         let may_hedge = repeatable(&request.route);
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Running;
-        leg.open.push(attempt);
-        leg.tried.push(carrier.server);
-        leg.sent += 1;
-        leg.paid = false;
-        leg.look_at = may_hedge.then_some(hedge_at);
+        let part = &mut request.parts[index];
+        part.state = PartState::InFlight;
+        part.in_flight.push(attempt);
+        part.tried.push(target.server);
+        part.sent += 1;
+        part.charged = false;
+        part.check_at = may_hedge.then_some(hedge_at);
         scope.actions.push_back(GatewayAction::Send {
-            connection: carrier.connection,
+            connection: target.connection,
             attempt,
             caller: request.caller,
             instance,
-            patience: request.ends.since(scope.now),
+            patience: request.deadline.since(scope.now),
         });
     }
 
-    /// A part waits for a connection for longer than it should: another server may be better.
-    fn queued_too_long(
+    /// Moves a part that is queued for too long to another server, if a responsive one exists.
+    fn queue_wait_exceeded(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
@@ -195,14 +200,14 @@
         cause: AttemptCause,
     ) {
         let interval = self.parameters.look_interval * 2;
-        let mut excluded = request.legs[index].tried.clone();
+        let mut excluded = request.parts[index].tried.clone();
         excluded.push(queued_at);
-        let work = self.usual_work(scope, request);
-        let service = request.legs[index].service;
+        let work = self.mean_work(scope, request);
+        let service = request.parts[index].service;
         let other = scope
             .servers
             .choose(scope.now, scope.random, service, work, &excluded);
-        request.legs[index].look_at = Some(scope.now + interval);
+        request.parts[index].check_at = Some(scope.now + interval);
         let Some(other) = other.filter(|other| !other.silent) else {
             scope
                 .servers
@@ -210,19 +215,20 @@
             return;
         };
         scope.servers.stop_waiting(queued_at, request.caller, index);
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Wanting(cause);
-        // An extra attempt was paid for when it was queued.
-        self.queue_or_send_paid(scope, request, index, other.server, cause);
+        let part = &mut request.parts[index];
+        part.state = PartState::NeedsAttempt(cause);
+        // The budget was charged for an extra attempt when the part was first queued.
+        self.queue_or_send_charged(scope, request, index, other.server, cause);
     }
 
     /// Whether the route allows another attempt of a part.
-    pub(super) fn may_send_more(&self, request: &Request, index: usize) -> bool {
-        let leg = &request.legs[index];
-        let most = request.attempts;
-        let ran = leg.ran();
-        let within = ran < most && leg.sent < most + FREE_ATTEMPTS;
-        within && (ran == 0 || repeatable(&request.route))
+    pub(super) fn allows_another_attempt(&self, request: &Request, index: usize) -> bool {
+        let part = &request.parts[index];
+        let max_attempts = request.max_attempts;
+        let possible_runs = part.possible_runs();
+        let within =
+            possible_runs < max_attempts && part.sent < max_attempts + MAX_UNCOUNTED_ATTEMPTS;
+        within && (possible_runs == 0 || repeatable(&request.route))
     }
 
     pub(super) fn choose(
@@ -231,22 +237,27 @@
         request: &Request,
         index: usize,
     ) -> Option<Choice> {
-        let work = self.usual_work(scope, request);
-        let leg = &request.legs[index];
+        let work = self.mean_work(scope, request);
+        let part = &request.parts[index];
         scope
             .servers
-            .choose(scope.now, scope.random, leg.service, work, &leg.tried)
+            .choose(scope.now, scope.random, part.service, work, &part.tried)
     }
 
-    /// Work of a request of the route at a server of usual speed.
-    pub(super) fn usual_work(&self, scope: &mut Scope<'_>, request: &Request) -> Duration {
+    /// Mean work of the route's requests at a server of average speed.
+    pub(super) fn mean_work(&self, scope: &mut Scope<'_>, request: &Request) -> Duration {
         let objective = request.route.route.latency_objective;
-        let learnt = scope.routes.statistics(request.route.key).work.mean();
-        learnt.unwrap_or_else(|| objective.mul_f64(INITIAL_WORK_SHARE))
+        let observed = scope.routes.statistics(request.route.key).work.mean();
+        observed.unwrap_or_else(|| objective.mul_f64(INITIAL_WORK_SHARE))
     }
 
-    fn expected(&self, scope: &mut Scope<'_>, request: &Request, server: ServerKey) -> Duration {
-        let work = self.usual_work(scope, request);
+    fn expected_latency(
+        &self,
+        scope: &mut Scope<'_>,
+        request: &Request,
+        server: ServerKey,
+    ) -> Duration {
+        let work = self.mean_work(scope, request);
         let Some(server) = scope.servers.get(server) else {
             return work;
         };
@@ -254,82 +265,81 @@
         server.round_trip() + work.mul_f64(speed)
     }
 
-    /// A server has a resting connection: sends what waits for it.
-    pub(super) fn serve_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
+    /// Sends queued parts while a server has idle connections.
+    pub(super) fn dispatch_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
         loop {
             let Some(server) = scope.servers.get(key) else {
                 return;
             };
-            let takes = server.takes_requests();
-            if takes && server.resting.is_empty() {
+            let accepts = server.takes_requests();
+            if accepts && server.resting.is_empty() {
                 return;
             }
             let Some(waiting) = scope.servers.next_waiting(scope.now, key) else {
                 return;
             };
-            self.serve_one(scope, key, waiting, takes);
+            self.dispatch_one_waiting(scope, key, waiting, accepts);
         }
     }
 
-    fn serve_one(
+    fn dispatch_one_waiting(
         &mut self,
         scope: &mut Scope<'_>,
         key: ServerKey,
         waiting: Waiting,
-        server_takes: bool,
+        server_accepts: bool,
     ) {
         let Some(mut request) = self.requests.remove(&waiting.caller) else {
             return;
         };
-        let state = &request.legs[waiting.leg].state;
-        if let LegState::Queued(server, cause) = *state
+        let state = &request.parts[waiting.leg].state;
+        if let PartState::Queued(server, cause) = *state
             && server == key
         {
-            self.serve_queued(scope, &mut request, waiting.leg, key, cause, server_takes);
+            self.dispatch_queued(scope, &mut request, waiting.leg, key, cause, server_accepts);
         }
         let caller = request.caller;
         self.requests.insert(caller, request);
         self.advance(scope, caller);
     }
 
-    fn serve_queued(
+    fn dispatch_queued(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
-        server_takes: bool,
+        server_accepts: bool,
     ) {
-        if server_takes
+        if server_accepts
             && Self::may_send_now(scope, request)
             && let OpenOutcome::Resting(connection) =
                 scope
                     .servers
                     .connection_for(scope.now, scope.actions, server)
         {
-            let carrier = Carrier { server, connection };
-            self.send(scope, request, index, carrier, cause);
+            let target = AttemptTarget { server, connection };
+            self.send(scope, request, index, target, cause);
             return;
         }
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Wanting(cause);
-        leg.look_at = None;
+        let part = &mut request.parts[index];
+        part.state = PartState::NeedsAttempt(cause);
+        part.check_at = None;
     }
 
-    /// Servers that take nothing any more, or cannot be reached: what waits there goes elsewhere.
-    pub(super) fn strand_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
-        let mut stranded = Vec::new();
+    /// Moves the parts queued for a server that is leaving or unreachable to other servers.
+    pub(super) fn requeue_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
+        let mut displaced = Vec::new();
         while let Some(waiting) = scope.servers.next_waiting(scope.now, key) {
-            stranded.push(waiting);
+            displaced.push(waiting);
         }
-        for waiting in stranded {
-            self.serve_one(scope, key, waiting, false);
+        for waiting in displaced {
+            self.dispatch_one_waiting(scope, key, waiting, false);
         }
     }
 }
 
-/// The attempts of a part that may still answer.
-pub(super) fn remove_open(open: &mut Vec<AttemptId>, attempt: AttemptId) {
-    open.retain(|other| *other != attempt);
+pub(super) fn remove_in_flight(in_flight: &mut Vec<AttemptId>, attempt: AttemptId) {
+    in_flight.retain(|other| *other != attempt);
 }
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -1,47 +1,47 @@
-//! Second attempts: when one is made while the first still runs.
+//! Hedging: a second attempt while the first is in flight.
 //!
-//! A second attempt loads another server and costs bytes, so it leaves as late as it still comes in
-//! time, and not before a first attempt has usually ended.
+//! A hedge loads another server and costs bandwidth. Therefore it is sent as late as it can still
+//! answer in time, and not before first attempts usually finish.
 
 use super::request::Request;
-use super::{Carrier, Exchanges, Scope};
+use super::{AttemptTarget, Exchanges, Scope};
 use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{OpenOutcome, ServerKey};
 use std::time::Duration;
 
 impl Exchanges {
-    /// The first attempt is slower than usual: another server may get the part too.
+    /// Sends a hedge for a part whose first attempt is slow.
     pub(super) fn hedge(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
         let interval = self.parameters.look_interval * 2;
-        let leg = &mut request.legs[index];
-        leg.look_at = None;
-        if !self.may_send_more(request, index) {
+        let part = &mut request.parts[index];
+        part.check_at = None;
+        if !self.allows_another_attempt(request, index) {
             request.request_grant();
             return;
         }
-        if let Some(second_after) = request.second_after()
-            && scope.now < second_after
+        if let Some(hedge_not_before) = request.hedge_not_before()
+            && scope.now < hedge_not_before
         {
-            request.legs[index].look_at = Some(second_after);
+            request.parts[index].check_at = Some(hedge_not_before);
             return;
         }
         let Some(choice) = self.choose(scope, request, index) else {
             return;
         };
-        let left = request.ends.since(scope.now);
-        if choice.silent || choice.cost > left {
-            request.legs[index].look_at = Some(scope.now + interval);
+        let remaining = request.deadline.since(scope.now);
+        if choice.silent || choice.cost > remaining {
+            request.parts[index].check_at = Some(scope.now + interval);
             return;
         }
-        let service = request.legs[index].service;
+        let service = request.parts[index].service;
         if !scope.budget.allows(scope.now, service) {
-            request.denied += usize::from(!request.legs[index].denied);
-            request.legs[index].denied = true;
-            request.legs[index].look_at = Some(scope.now + interval * 2);
+            request.budget_denials += usize::from(!request.parts[index].budget_denied);
+            request.parts[index].budget_denied = true;
+            request.parts[index].check_at = Some(scope.now + interval * 2);
             return;
         }
-        // Without a resting connection the part would leave its running state; one is opened,
-        // and the next look uses it.
+        // Queueing would end the part's in-flight state. Without an idle connection one is opened,
+        // and the next check uses it.
         match scope
             .servers
             .connection_for(scope.now, scope.actions, choice.server)
@@ -51,16 +51,16 @@
                     return;
                 }
                 let server = choice.server;
-                let carrier = Carrier { server, connection };
-                self.send(scope, request, index, carrier, AttemptCause::Hedge);
+                let target = AttemptTarget { server, connection };
+                self.send(scope, request, index, target, AttemptCause::Hedge);
             }
             OpenOutcome::Wait => {
-                request.legs[index].look_at = Some(scope.now + self.parameters.look_interval);
+                request.parts[index].check_at = Some(scope.now + self.parameters.look_interval);
             }
         }
     }
 
-    /// Time after which an attempt at a server is slower than usual.
+    /// Time after which an attempt at a server counts as slow.
     pub(super) fn hedge_delay(
         &self,
         scope: &mut Scope<'_>,
@@ -77,16 +77,16 @@
         let Some(server) = scope.servers.get(server) else {
             return work;
         };
-        // A slow server is no reason to wait longer.
+        // Clamped, so that a slow server does not delay its hedge.
         let speed = server
             .speed(&scope.servers.parameters, scope.now)
             .clamp(0.7, 1.5);
-        let usual = (server.round_trip() + work.mul_f64(speed)).max(parameters.hedge_minimum);
-        usual.max(spare)
+        let expected_latency =
+            (server.round_trip() + work.mul_f64(speed)).max(parameters.hedge_minimum);
+        expected_latency.max(spare)
     }
 
-    /// Time after which a second attempt would still come in time, with a reserve: until then the
-    /// first may answer, and costs nothing more.
+    /// Time that remains before a hedge would answer too late, less a reserve.
     fn spare_time(
         &self,
         scope: &Scope<'_>,
@@ -94,11 +94,14 @@
         server: ServerKey,
         work: Duration,
     ) -> Duration {
-        let Some(way) = scope.servers.round_trip_beside(server) else {
+        let Some(round_trip) = scope.servers.round_trip_beside(server) else {
             return Duration::ZERO;
         };
-        let needed = way + work;
+        let needed = round_trip + work;
         let reserve = needed.mul_f64(self.parameters.hedge_reserve);
-        request.answer_by.since(scope.now).saturating_sub(reserve)
+        request
+            .soft_deadline
+            .since(scope.now)
+            .saturating_sub(reserve)
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/merging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/merging.rs
@@ -1,4 +1,4 @@
-//! The records of the parts of a gather, merged: the greatest first.
+//! Merging of the records of a gather's parts.
 
 use bytes::{Bytes, BytesMut};
 use std::collections::BinaryHeap;
@@ -6,10 +6,10 @@
 
 type Record = [u8; RECORD_BYTES];
 
-/// The greatest `limit` records of all bodies, greatest first, compared byte by byte. Equal ones
-/// all count; a rest shorter than a record is none.
+/// The greatest `limit` records of all bodies in descending byte order. Duplicates are kept; a
+/// trailing partial record is ignored.
 pub(super) fn greatest_records<'a>(bodies: impl Iterator<Item = &'a Bytes>, limit: usize) -> Bytes {
-    // The least of the kept records is on top.
+    // Min-heap of the kept records.
     let mut kept: BinaryHeap<std::cmp::Reverse<Record>> = BinaryHeap::with_capacity(limit + 1);
     for body in bodies {
         for chunk in body.chunks_exact(RECORD_BYTES) {
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -1,27 +1,27 @@
-//! Requests under way: their attempts, second attempts, retries, completeness and answers.
+//! In-flight requests: attempts, hedges, retries, completeness and answers.
 //!
-//! A request is one part, or for a gather one part for each shard. Each part is sent to one
-//! server; when that is slower than usual, or failed, another server may get it too, paid from
-//! the budget of extra attempts. A gather is answered when all parts are in, or when the time for
-//! an answer that is worth most is over and enough parts are in. Where too few are in then, it
-//! goes on: a late answer is worth more than none.
+//! A request has one part, or for a gather one part per shard. Each part is sent to one server.
+//! When that server is slow or fails, another server may get the part too, charged to the budget of
+//! extra attempts. A gather is answered when all parts have answered, or at the soft deadline with
+//! enough parts. With too few parts at the soft deadline, the gather goes on until the deadline,
+//! because a late answer is worth more than none.
 //!
-//! Guards against: a request that is held after it was given up, one that runs more often than it
-//! may, and an answer of another request.
+//! Invariants: a request is dropped when its caller leaves, runs no more often than its route
+//! allows, and gets no answer of another request.
 
 mod answering;
 mod attempts;
-mod caution;
+mod crash_suspects;
 mod delay;
-mod delegating;
 mod dispatching;
 mod hedging;
-mod leg;
 mod merging;
-mod owning;
+mod part;
 mod reports;
 mod request;
 mod slice;
+mod slice_coordinator;
+mod slice_owner;
 #[cfg(test)]
 mod tests;
 
@@ -39,7 +39,7 @@
 use crate::time::Timestamp;
 use attempts::Attempt;
 pub(super) use delay::AnswerDelay;
-use leg::Leg;
+use part::Part;
 use rand_pcg::Pcg64Mcg;
 use request::{Origin, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -51,12 +51,12 @@
 use thornbridge_proto::peer::slice::{SliceId, SliceStop};
 use thornbridge_proto::peer::view::StoreRevision;
 
-/// Times that a request waits in this node for as long as its answer: on its way in and out.
-const DELAYED_WAYS: u32 = 3;
-/// Patience of a caller that gives none.
+/// Multiple of the answer delay reserved per request: inbound and outbound queueing.
+const ANSWER_DELAY_FACTOR: u32 = 3;
+/// Assumed patience of a caller that states none.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
 
-/// What the engine is given with each call.
+/// State borrowed from the gateway for one call.
 pub(super) struct Scope<'a> {
     pub(super) now: Timestamp,
     pub(super) random: &'a mut Pcg64Mcg,
@@ -68,27 +68,27 @@
     pub(super) quarantine: &'a mut Quarantine,
     /// Peer address of this node.
     pub(super) own_address: SocketAddr,
-    /// Whether requests and messages may be older than they say.
+    /// Whether requests and peer messages may be older than they state.
     pub(super) stale: bool,
     /// Revision of the registry, for the log.
     pub(super) registry: StoreRevision,
 }
 
-/// All requests under way.
+/// All in-flight requests.
 #[derive(Debug)]
 pub(super) struct Exchanges {
     parameters: ExchangeParameters,
     requests: BTreeMap<CallerId, Request>,
     schedule: BTreeSet<(Timestamp, CallerId)>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Attempts to be cut off at a time.
-    cuts: BTreeSet<(Timestamp, AttemptId)>,
+    /// Scheduled cancellations of attempts.
+    cancellations: BTreeSet<(Timestamp, AttemptId)>,
     next_attempt: u64,
-    delay: AnswerDelay,
-    /// Slices that others answer: whose request, and its place there.
-    slices: BTreeMap<SliceId, (CallerId, usize)>,
-    /// Slices that this node answers, by coordinator.
-    served: BTreeMap<(SocketAddr, SliceId), CallerId>,
+    answer_delay: AnswerDelay,
+    /// Slices served by other nodes: the request and the index of the slice in it.
+    delegated_slices: BTreeMap<SliceId, (CallerId, usize)>,
+    /// Slices served by this node, by coordinator.
+    served_slices: BTreeMap<(SocketAddr, SliceId), CallerId>,
     next_slice_caller: u64,
 }
 
@@ -99,38 +99,38 @@
             requests: BTreeMap::new(),
             schedule: BTreeSet::new(),
             attempts: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            cancellations: BTreeSet::new(),
             next_attempt: 0,
-            delay: AnswerDelay::default(),
-            slices: BTreeMap::new(),
-            served: BTreeMap::new(),
+            answer_delay: AnswerDelay::default(),
+            delegated_slices: BTreeMap::new(),
+            served_slices: BTreeMap::new(),
             next_slice_caller: 0,
         }
     }
 
-    /// Takes new tunable values.
+    /// Replaces the tunable parameters.
     pub(super) fn set_parameters(&mut self, parameters: ExchangeParameters) {
         self.parameters = parameters;
     }
 
-    /// An answer waited this long in this node after it was decided.
+    /// Records how long an answer was queued after its decision.
     pub(super) fn answer_delayed(&mut self, by: Duration) {
-        self.delay.observe(by);
+        self.answer_delay.observe(by);
     }
 
-    /// Requests without an answer yet.
+    /// Number of unanswered requests.
     pub(super) fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is to be called next.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        let look = self.schedule.first().map(|(time, _)| *time);
-        let cut = self.cuts.first().map(|(time, _)| *time);
-        [look, cut].into_iter().flatten().min()
+        let check = self.schedule.first().map(|(time, _)| *time);
+        let cancellation = self.cancellations.first().map(|(time, _)| *time);
+        [check, cancellation].into_iter().flatten().min()
     }
 
-    /// A request came on a route.
+    /// Starts a request on its route.
     pub(super) fn start(
         &mut self,
         scope: &mut Scope<'_>,
@@ -150,61 +150,61 @@
             self.refuse_crashing(scope, caller, &head, &route);
             return;
         }
-        let times = self.times(scope, &head, &route, arrived);
+        let deadlines = self.deadlines(scope, &head, &route, arrived);
         let services = choose_services(scope, &route);
-        if let Some(reason) = unservable(scope, &route, &services, times.caller_try) {
+        if let Some(reason) = unservable_reason(scope, &route, &services, deadlines.caller_try) {
             let share = self.parameters.retry_after_share;
-            let retry_after = times.patience.mul_f64(share).max(retry_after);
+            let retry_after = deadlines.patience.mul_f64(share).max(retry_after);
             self.refuse_unstarted(scope, caller, &head, &route, reason, retry_after);
             return;
         }
-        // Owners could not tell how long a request waited for this process to go on.
+        // Owners cannot account for time that a stale request spent queued in this process.
         let plan = scope
             .slices
             .plan(scope.now, route.key)
             .filter(|_| !scope.stale && caution == Caution::None);
         let plan = plan.filter(|plan| plan.covers(services.len()));
-        let legs = services.into_iter().map(Leg::new).collect();
+        let parts = services.into_iter().map(Part::new).collect();
         let mut request = Request {
             caller,
             id: head.id.unwrap_or_default(),
             fingerprint: head.fingerprint,
             arrived,
-            caller_try: times.caller_try,
-            answer_by: times.answer_by,
-            ends: times.ends,
-            attempts: route.route.attempts,
+            caller_try: deadlines.caller_try,
+            soft_deadline: deadlines.soft_deadline,
+            deadline: deadlines.deadline,
+            max_attempts: route.route.attempts,
             route,
-            legs,
-            look_at: times.ends,
+            parts,
+            check_at: deadlines.deadline,
             notes: Vec::new(),
-            denied: 0,
+            budget_denials: 0,
             origin: Origin::Caller,
             slices: Vec::new(),
         };
         if let Some(plan) = plan {
-            self.delegate(scope, &mut request, &plan);
+            self.delegate_gather(scope, &mut request, &plan);
         }
-        for leg in &request.legs {
-            if !leg.is_delegated() {
-                scope.budget.request(scope.now, leg.service);
+        for part in &request.parts {
+            if !part.is_delegated() {
+                scope.budget.request(scope.now, part.service);
             }
         }
-        self.schedule.insert((request.look_at, caller));
+        self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
         self.advance(scope, caller);
     }
 
-    /// The caller went away. Its attempts mostly end by themselves within the grace.
+    /// Drops the request of a caller that disconnected; its attempts get a grace period to finish.
     pub(super) fn caller_gone(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
-        let cut_at = scope.now + self.parameters.gone_grace;
-        if let Some(mut request) = self.forget(scope, caller, cut_at) {
+        let cancel_at = scope.now + self.parameters.gone_grace;
+        if let Some(mut request) = self.remove_request(scope, caller, cancel_at) {
             self.stop_slices(scope, &mut request, SliceStop::CallerGone);
-            self.note(scope, &request, "caller_gone", None);
+            self.log_outcome(scope, &request, "caller_gone", None);
         }
     }
 
-    /// Looks at what is due.
+    /// Runs due checks and cancellations.
     pub(super) fn timer_due(&mut self, scope: &mut Scope<'_>) {
         while let Some((time, caller)) = self.schedule.first().copied() {
             if time > scope.now {
@@ -213,84 +213,84 @@
             self.schedule.remove(&(time, caller));
             self.advance(scope, caller);
         }
-        while let Some((time, attempt)) = self.cuts.first().copied() {
+        while let Some((time, attempt)) = self.cancellations.first().copied() {
             if time > scope.now {
                 break;
             }
-            self.cuts.remove(&(time, attempt));
-            self.cut(scope, attempt);
+            self.cancellations.remove(&(time, attempt));
+            self.cancel_attempt(scope, attempt);
         }
     }
 
-    /// Does what is due for a request, answers it where that is possible, and schedules it.
+    /// Runs what is due for a request, then answers or reschedules it.
     fn advance(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
         let Some(mut request) = self.requests.remove(&caller) else {
             return;
         };
-        self.schedule.remove(&(request.look_at, caller));
+        self.schedule.remove(&(request.check_at, caller));
         let caution = scope.quarantine.caution(scope.now, request.fingerprint);
         if caution == Caution::None {
             self.advance_slices(scope, &mut request);
         }
-        if request.is_over_by(caution) {
+        if request.is_abandoned_under(caution) {
             self.give_up(scope, request);
             return;
         }
-        for index in 0..request.legs.len() {
-            self.advance_leg(scope, &mut request, index);
+        for index in 0..request.parts.len() {
+            self.advance_part(scope, &mut request, index);
         }
         if matches!(request.origin, Origin::Coordinator(_)) {
-            if self.advance_owned(scope, &mut request) {
-                self.finish_owned(scope, request);
+            if self.advance_served_slice(scope, &mut request) {
+                self.finish_served_slice(scope, request);
                 return;
             }
         } else if let Some(answer) = answering::answer(&self.parameters, scope.now, &request) {
             self.finish(scope, request, answer);
             return;
         }
-        request.look_at = request.next_look_by(caution, scope.now);
-        self.schedule.insert((request.look_at, caller));
+        request.check_at = request.next_check_under(caution, scope.now);
+        self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
     }
 
     fn finish(&mut self, scope: &mut Scope<'_>, mut request: Request, answer: GatewayAnswer) {
         let outcome = answering::outcome(&answer);
         let retry_after = answering::retry_after(&answer);
-        let cut_at = request.ends.max(scope.now) + self.parameters.gone_grace;
-        self.abandon(scope, &request, cut_at);
-        // The log can wait; the caller cannot.
+        let cancel_at = request.deadline.max(scope.now) + self.parameters.gone_grace;
+        self.abandon_attempts(scope, &request, cancel_at);
+        // Answer before logging: only the answer is urgent.
         let caller = request.caller;
         scope
             .actions
             .push_back(GatewayAction::Answer { caller, answer });
-        if !request.slices.is_empty() && !request.most_owners_are_silent() {
-            scope.slices.owners_answer();
+        if !request.slices.is_empty() && !request.most_slices_have_silent_owner() {
+            scope.slices.reset_division_backoff();
         }
         self.stop_slices(scope, &mut request, SliceStop::Answered);
-        self.note(scope, &request, outcome, retry_after);
+        self.log_outcome(scope, &request, outcome, retry_after);
     }
 
-    /// Takes a request off the tables; its attempts are cut off at `cut_at`.
-    fn forget(
+    /// Removes a request and schedules its attempts for cancellation at `cancel_at`.
+    fn remove_request(
         &mut self,
         scope: &mut Scope<'_>,
         caller: CallerId,
-        cut_at: Timestamp,
+        cancel_at: Timestamp,
     ) -> Option<Request> {
         let request = self.requests.remove(&caller)?;
-        self.schedule.remove(&(request.look_at, caller));
-        self.abandon(scope, &request, cut_at);
+        self.schedule.remove(&(request.check_at, caller));
+        self.abandon_attempts(scope, &request, cancel_at);
         Some(request)
     }
 
-    /// When an answer is due, and when the final one.
-    fn times(
+    /// Soft and hard deadline of a request.
+    fn deadlines(
         &self,
         scope: &mut Scope<'_>,
         head: &RequestHead,
         route: &ResolvedRoute,
         arrived: Timestamp,
-    ) -> Times {
+    ) -> Deadlines {
         let parameters = &self.parameters;
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
         let statistics = scope.routes.statistics(route.key);
@@ -303,30 +303,30 @@
         };
         let objective = route.route.latency_objective;
         let reserve = objective.mul_f64(parameters.delay_share_maximum);
-        // What delays answers here delays requests on their way in as much.
-        let delay = (self.delay.reserve() * DELAYED_WAYS).min(reserve);
+        // Requests are queued on their way in for as long as answers on their way out.
+        let delay = (self.answer_delay.reserve() * ANSWER_DELAY_FACTOR).min(reserve);
         let margin = parameters.answer_margin + delay;
-        let answer_in = objective.saturating_sub(way + margin + spent);
-        let ends_in = patience
+        let soft_deadline_in = objective.saturating_sub(way + margin + spent);
+        let deadline_in = patience
             .saturating_sub(parameters.caller_delay * 2)
             .min(route.route.time_limit);
-        Times {
+        Deadlines {
             patience,
             caller_try,
-            answer_by: arrived + answer_in,
-            ends: arrived + ends_in,
+            soft_deadline: arrived + soft_deadline_in,
+            deadline: arrived + deadline_in,
         }
     }
 }
 
-struct Times {
+struct Deadlines {
     patience: Duration,
     caller_try: CallerTry,
-    answer_by: Timestamp,
-    ends: Timestamp,
+    soft_deadline: Timestamp,
+    deadline: Timestamp,
 }
 
-/// The service of each part.
+/// Service of each part.
 fn choose_services(scope: &mut Scope<'_>, route: &ResolvedRoute) -> Vec<ServiceKey> {
     match &route.target {
         ResolvedTarget::Service(service) => vec![*service],
@@ -338,16 +338,16 @@
     }
 }
 
-/// Why a request cannot be served: too few of its services have a registered server. One may register
-/// while a caller waits that does not come back; it takes no request while its zone is evacuated.
-fn unservable(
+/// Why a request is refused at once: too few of its services have a registered server. A caller's
+/// retry waits for servers to register, except in evacuated zones.
+fn unservable_reason(
     scope: &Scope<'_>,
     route: &ResolvedRoute,
     services: &[ServiceKey],
     caller_try: CallerTry,
 ) -> Option<RefusalReason> {
-    let comes_back = caller_try == CallerTry::First;
-    let served = services.iter().filter(|key| match comes_back {
+    let will_retry = caller_try == CallerTry::First;
+    let served = services.iter().filter(|key| match will_retry {
         true => scope.servers.has_server(**key),
         false => !scope.servers.is_evacuated(**key),
     });
@@ -358,14 +358,14 @@
     (served.count() < least).then_some(reason)
 }
 
-/// Whether a route's requests may run more than once.
+/// Whether requests of a route may run more than once.
 fn repeatable(route: &ResolvedRoute) -> bool {
     route.route.repeatability == Repeatability::Repeatable
 }
 
-/// A connection and server that carry an attempt.
+/// Server and connection of an attempt.
 #[derive(Clone, Copy, Debug)]
-struct Carrier {
+struct AttemptTarget {
     server: ServerKey,
     connection: ConnectionId,
 }
--- /dev/null
+++ b/crates/thornbridge-core/src/gateway/exchange/part.rs
@@ -0,0 +1,184 @@
+//! Part of a request: the whole request, or one shard of a gather.
+
+use crate::gateway::budget::ServiceKey;
+use crate::gateway::event::ServerReply;
+use crate::gateway::notes::{AttemptCause, AttemptOutcome};
+use crate::gateway::servers::ServerKey;
+use crate::time::Timestamp;
+use bytes::Bytes;
+use std::time::Duration;
+use thornbridge_proto::AttemptId;
+use thornbridge_proto::peer::slice::ShardFailure;
+
+/// Lifetime of a lent attempt: short enough to fall into the budget window of its lender.
+const LENT_ATTEMPT_LIFETIME: Duration = Duration::from_secs(1);
+
+/// State of a part.
+#[derive(Debug)]
+pub(super) enum PartState {
+    /// An attempt is wanted and none is in flight.
+    NeedsAttempt(AttemptCause),
+    /// An attempt waits for a connection to the server.
+    Queued(ServerKey, AttemptCause),
+    /// One or more attempts are in flight.
+    InFlight,
+    Answered(Box<ServerReply>),
+    /// Served by another node.
+    Delegated,
+    /// Answered by an owner; the server's signature.
+    AnsweredByOwner(Bytes),
+    /// Waits for the coordinator to grant another attempt.
+    AwaitingGrant,
+    /// No attempt is left.
+    Failed,
+}
+
+/// A part of a request.
+#[derive(Debug)]
+pub(super) struct Part {
+    pub(super) service: ServiceKey,
+    pub(super) state: PartState,
+    pub(super) in_flight: Vec<AttemptId>,
+    /// Servers to which the part was sent.
+    pub(super) tried: Vec<ServerKey>,
+    /// Number of attempts sent.
+    pub(super) sent: u32,
+    /// Sent attempts that certainly did not run.
+    pub(super) not_run: u32,
+    /// When to check the part next; `None` if only the end of an attempt matters.
+    pub(super) check_at: Option<Timestamp>,
+    pub(super) last_failure: Option<AttemptOutcome>,
+    /// Reply of a failed server, forwarded if no better one comes.
+    pub(super) failed_reply: Option<Box<ServerReply>>,
+    /// Whether the budget was charged for an extra attempt that is not sent yet.
+    pub(super) charged: bool,
+    /// Unused extra attempts paid for by the coordinator.
+    lent: u32,
+    lent_until: Timestamp,
+    /// Whether the budget ever denied an extra attempt.
+    pub(super) budget_denied: bool,
+    /// Attempts that other nodes may have sent.
+    pub(super) prior_attempts: u32,
+    /// Whether servers rejected the part when its owner sent it.
+    pub(super) rejected_at_owner: bool,
+    /// Whether the coordinator knows the part's result.
+    pub(super) reported: bool,
+}
+
+impl Part {
+    pub(super) fn new(service: ServiceKey) -> Self {
+        Self {
+            service,
+            state: PartState::NeedsAttempt(AttemptCause::First),
+            in_flight: Vec::new(),
+            tried: Vec::new(),
+            sent: 0,
+            not_run: 0,
+            check_at: None,
+            last_failure: None,
+            failed_reply: None,
+            charged: false,
+            lent: 0,
+            lent_until: Timestamp::ZERO,
+            budget_denied: false,
+            prior_attempts: 0,
+            rejected_at_owner: false,
+            reported: false,
+        }
+    }
+
+    /// Failed part of a service that is unknown to this node.
+    pub(super) fn unknown() -> Self {
+        Self {
+            state: PartState::Failed,
+            ..Self::new(ServiceKey::default())
+        }
+    }
+
+    pub(super) fn is_answered(&self) -> bool {
+        matches!(
+            self.state,
+            PartState::Answered(_) | PartState::AnsweredByOwner(_)
+        )
+    }
+
+    pub(super) fn is_failed(&self) -> bool {
+        matches!(self.state, PartState::Failed)
+    }
+
+    pub(super) fn is_delegated(&self) -> bool {
+        matches!(self.state, PartState::Delegated)
+    }
+
+    pub(super) fn is_finished(&self) -> bool {
+        self.is_answered() || self.is_failed()
+    }
+
+    /// Server for whose connection the part waits, and the cause of the attempt.
+    pub(super) fn queued_at(&self) -> Option<(ServerKey, AttemptCause)> {
+        match self.state {
+            PartState::Queued(server, cause) => Some((server, cause)),
+            _ => None,
+        }
+    }
+
+    /// Adds an extra attempt paid for by the coordinator.
+    pub(super) fn lend(&mut self, now: Timestamp) {
+        self.lent += 1;
+        self.lent_until = now + LENT_ATTEMPT_LIFETIME;
+    }
+
+    /// Consumes a lent attempt; `false` if there is none.
+    #[must_use]
+    pub(super) fn take_lent(&mut self, now: Timestamp) -> bool {
+        let available = self.lent > 0 && now <= self.lent_until;
+        self.lent -= u32::from(available);
+        available
+    }
+
+    /// Attempts that ran or may have run.
+    pub(super) fn possible_runs(&self) -> u32 {
+        self.prior_attempts + self.sent - self.not_run
+    }
+
+    /// Resumes or fails a waiting part, now that the coordinator's grant is known.
+    pub(super) fn apply_grant(&mut self, now: Timestamp, may_send: bool) {
+        match (&self.state, may_send) {
+            (PartState::AwaitingGrant, true) => {
+                self.state = PartState::NeedsAttempt(AttemptCause::Retry);
+                self.check_at = None;
+            }
+            (PartState::AwaitingGrant, false) => self.state = PartState::Failed,
+            (PartState::InFlight, true) if self.check_at.is_none() => self.check_at = Some(now),
+            _ => {}
+        }
+    }
+
+    /// Whether another attempt is charged to the budget. Rejected attempts make the next one extra,
+    /// because servers count them too.
+    pub(super) fn is_extra(&self) -> bool {
+        self.prior_attempts + self.sent > 0 || self.rejected_at_owner
+    }
+
+    /// Failure of the part as reported to the coordinator.
+    pub(super) fn shard_failure(&self) -> ShardFailure {
+        match (self.possible_runs(), self.sent) {
+            (0, 0) => ShardFailure::Unsent,
+            (0, _) => ShardFailure::Rejected,
+            _ => ShardFailure::MayHaveRun,
+        }
+    }
+
+    /// Applies an owner's failure: a shard that no server can have run is retried on this node.
+    pub(super) fn apply_owner_failure(&mut self, failure: ShardFailure, attempts: u32) {
+        self.prior_attempts = attempts;
+        // The first attempt of an unsent shard is not charged.
+        self.charged = failure == ShardFailure::Unsent;
+        self.rejected_at_owner = failure == ShardFailure::Rejected;
+        self.state = match failure {
+            ShardFailure::Unsent => PartState::NeedsAttempt(AttemptCause::First),
+            ShardFailure::Rejected => PartState::NeedsAttempt(AttemptCause::Retry),
+            ShardFailure::MayHaveRun => PartState::Failed,
+        };
+    }
+}
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -1,6 +1,6 @@
-//! A gather's coordinator: takes the reports of owners, and grants them further attempts.
+//! Coordinator of a divided gather: handles owners' reports and grants further attempts.
 
-use super::leg::{Leg, LegState};
+use super::part::{Part, PartState};
 use super::request::Request;
 use super::slice::send_message;
 use super::{Exchanges, Scope};
@@ -10,20 +10,19 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::{SliceId, SliceMessage, SliceReport};
 
-/// Extra attempts that are lent for one shard of a slice at most: a rejected attempt may be rejected
-/// again.
-const MOST_LENT: usize = 2;
+/// Lent attempts per shard: a rejected attempt may be rejected again.
+const MAX_LENT_PER_SHARD: usize = 2;
 
-/// Where a report comes from, and whose slice it is about.
+/// Sender of a report, and the slice it reports on.
 struct Sender {
     owner: SocketAddr,
     id: SliceId,
-    /// Place of the slice in its request.
+    /// Index of the slice in its request.
     index: usize,
 }
 
 impl Exchanges {
-    /// A task never left this node.
+    /// Handles a task that could not be sent as refused.
     pub(in crate::gateway) fn task_not_sent(
         &mut self,
         scope: &mut Scope<'_>,
@@ -33,7 +32,7 @@
         self.slice_reported(scope, owner, slice, SliceReport::refusal(), false);
     }
 
-    /// An owner reported, and maybe asks for further attempts.
+    /// Handles a report, and a request for further attempts if the owner makes one.
     pub(in crate::gateway) fn slice_reported(
         &mut self,
         scope: &mut Scope<'_>,
@@ -42,18 +41,18 @@
         report: SliceReport,
         requests_grant: bool,
     ) {
-        let Some((caller, index)) = self.slices.get(&id).copied() else {
+        let Some((caller, index)) = self.delegated_slices.get(&id).copied() else {
             return;
         };
         let Some(mut request) = self.requests.remove(&caller) else {
             return;
         };
         let sender = Sender { owner, id, index };
-        if !request.slices[index].was_asked(owner, id) {
+        if !request.slices[index].is_delegated_to(owner, id) {
             self.requests.insert(caller, request);
             return;
         }
-        self.take_report(scope, &mut request, &sender, report);
+        self.apply_report(scope, &mut request, &sender, report);
         if requests_grant {
             grant_attempts(scope, &mut request, &sender);
         }
@@ -61,7 +60,7 @@
         self.advance(scope, caller);
     }
 
-    fn take_report(
+    fn apply_report(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
@@ -69,7 +68,7 @@
         report: SliceReport,
     ) {
         let slice = &mut request.slices[sender.index];
-        let Some(asked) = slice.asked_mut(sender.id) else {
+        let Some(delegation) = slice.delegation_mut(sender.id) else {
             return;
         };
         if report.refused {
@@ -77,43 +76,54 @@
             self.owner_lost(scope, request, sender.index, sender.id, refused);
             return;
         }
-        if matches!(asked.outcome, SliceOutcome::Asked | SliceOutcome::Silent) {
+        if matches!(
+            delegation.outcome,
+            SliceOutcome::Asked | SliceOutcome::Silent
+        ) {
             let elapsed = Duration::from_micros(report.elapsed_us);
-            let overhead = scope.now.since(asked.at).saturating_sub(elapsed);
+            let overhead = scope.now.since(delegation.sent_at).saturating_sub(elapsed);
             scope.slices.owner_answered(sender.owner, overhead);
             let waiting = f64::from(report.waiting);
-            scope.slices.owner_waits(scope.now, sender.owner, waiting);
+            scope
+                .slices
+                .observe_owner_queue(scope.now, sender.owner, waiting);
         }
-        asked.outcome = match report.finished {
+        delegation.outcome = match report.finished {
             true => SliceOutcome::Finished,
             false => SliceOutcome::Reporting,
         };
         if report.finished {
-            self.slices.remove(&sender.id);
+            self.delegated_slices.remove(&sender.id);
         }
-        if !slice.is_unheard() {
+        if !slice.awaits_first_report() {
             slice.silent_at = None;
         }
-        take_shards(scope, request, sender, report);
-        if request.slices[sender.index].open().next().is_none() {
-            // A report that was lost on its way leaves shards that nobody will answer any more.
-            self.ask_owner(scope, request, sender.index);
+        apply_shards(scope, request, sender, report);
+        if request.slices[sender.index]
+            .open_delegations()
+            .next()
+            .is_none()
+        {
+            // Shards missing from all reports, because one was lost, are delegated again.
+            self.delegate_slice(scope, request, sender.index);
         }
     }
 }
 
-/// Grants an owner all attempts that are left, or none: what another one may have used is never
-/// granted twice.
+/// Grants an owner all remaining attempts, or none if another owner may have used them.
 fn grant_attempts(scope: &mut Scope<'_>, request: &mut Request, sender: &Sender) {
-    let all = request.attempts;
+    let all = request.max_attempts;
     let slice = &mut request.slices[sender.index];
-    let mut others = slice.asked.iter().filter(|asked| asked.id != sender.id);
-    let alone = others.all(|asked| asked.outcome == SliceOutcome::Refused);
-    let attempts = match alone {
-        true => 1 + all.saturating_sub(slice.granted),
+    let mut others = slice
+        .delegations
+        .iter()
+        .filter(|delegation| delegation.id != sender.id);
+    let sole_owner = others.all(|delegation| delegation.outcome == SliceOutcome::Refused);
+    let attempts = match sole_owner {
+        true => 1 + all.saturating_sub(slice.granted_attempts),
         false => 1,
     };
-    slice.granted += attempts - 1;
+    slice.granted_attempts += attempts - 1;
     let lent = match attempts {
         1 => Vec::new(),
         _ => lend_attempts(scope, request, sender.index),
@@ -126,93 +136,107 @@
     send_message(scope, sender.owner, grant);
 }
 
-/// Pays extra attempts for the shards of a slice that are open, out of this node's budget. The slack
-/// is divided by all nodes, and only the owners of a shard need it: it comes to them with the
-/// requests, and the shares still add up.
+/// Charges this node's budget for extra attempts on the open shards of a slice. Budgets are divided
+/// among all nodes, so lending moves unused shares to the owners without exceeding the total.
 fn lend_attempts(scope: &mut Scope<'_>, request: &Request, index: usize) -> Vec<u16> {
     let mut lent = Vec::new();
-    for (place, leg) in request.legs[request.slices[index].shards()]
+    for (position, part) in request.parts[request.slices[index].shards()]
         .iter()
         .enumerate()
     {
-        let Ok(place) = u16::try_from(place) else {
+        let Ok(position) = u16::try_from(position) else {
             break;
         };
-        for _ in 0..MOST_LENT {
-            if leg.is_delegated() && scope.budget.try_take(scope.now, leg.service) {
-                lent.push(place);
+        for _ in 0..MAX_LENT_PER_SHARD {
+            if part.is_delegated() && scope.budget.try_take(scope.now, part.service) {
+                lent.push(position);
             }
         }
     }
     lent
 }
 
-/// Takes a report's shards over.
-fn take_shards(scope: &mut Scope<'_>, request: &mut Request, sender: &Sender, report: SliceReport) {
+/// Applies the shard results of a report.
+fn apply_shards(
+    scope: &mut Scope<'_>,
+    request: &mut Request,
+    sender: &Sender,
+    report: SliceReport,
+) {
     let slice = &mut request.slices[sender.index];
     let shards = slice.shards();
-    let in_slice = |place: u16| shards.start + usize::from(place);
+    let request_position = |position: u16| shards.start + usize::from(position);
     let answered = report.answered.iter();
-    let answered = answered.map(|(place, signature)| {
+    let answered = answered.map(|(position, signature)| {
         let signature = Bytes::copy_from_slice(signature.as_slice());
-        (in_slice(*place), signature)
+        (request_position(*position), signature)
     });
-    let answered: Vec<(usize, Bytes)> = answered.filter(|(place, _)| *place < shards.end).collect();
+    let answered: Vec<(usize, Bytes)> = answered
+        .filter(|(position, _)| *position < shards.end)
+        .collect();
     if !answered.is_empty() {
         scope.quarantine.answered(scope.now, request.fingerprint);
     }
-    let Some(asked) = slice.asked_mut(sender.id) else {
+    let Some(delegation) = slice.delegation_mut(sender.id) else {
         return;
     };
-    asked.answered.extend(answered);
+    delegation.answered.extend(answered);
     let records = Bytes::copy_from_slice(report.records.as_slice());
-    asked.records.push(records);
+    delegation.records.push(records);
     choose_source(request, sender);
     let slice = &request.slices[sender.index];
-    if slice.open().any(|asked| asked.id != sender.id) {
-        // Another owner may still answer what this one could not.
+    if slice
+        .open_delegations()
+        .any(|delegation| delegation.id != sender.id)
+    {
+        // Another owner may still answer the failed shards.
         return;
     }
-    // One attempt is left for each: an owner that is asked yet, too, has one.
-    let elsewhere = request.attempts.saturating_sub(1);
-    for (place, failure) in report.failed {
-        let place = in_slice(place);
-        let leg = request.legs.get_mut(place);
-        if let Some(leg) = leg.filter(|leg| place < shards.end && !leg.is_over()) {
-            leg.failed_elsewhere(failure, elsewhere);
+    // One attempt is left per shard; any other owner may have used the rest.
+    let prior_attempts = request.max_attempts.saturating_sub(1);
+    for (position, failure) in report.failed {
+        let position = request_position(position);
+        let part = request.parts.get_mut(position);
+        if let Some(part) = part.filter(|part| position < shards.end && !part.is_finished()) {
+            part.apply_owner_failure(failure, prior_attempts);
         }
     }
 }
 
-/// Lets the reports of the owner count that answered most shards of a slice.
+/// Selects the owner that answered most shards of a slice as its source.
 fn choose_source(request: &mut Request, sender: &Sender) {
     let slice = &mut request.slices[sender.index];
     let count = |id: SliceId| {
-        let asked = slice.asked.iter().find(|asked| asked.id == id);
-        asked.map_or(0, |asked| asked.answered.len())
+        let delegation = slice
+            .delegations
+            .iter()
+            .find(|delegation| delegation.id == id);
+        delegation.map_or(0, |delegation| delegation.answered.len())
     };
-    let before = slice.source.filter(|source| *source != sender.id);
-    if before.is_some_and(|source| count(source) >= count(sender.id)) {
+    let previous = slice.source.filter(|source| *source != sender.id);
+    if previous.is_some_and(|source| count(source) >= count(sender.id)) {
         return;
     }
     slice.source = Some(sender.id);
     let slice = &request.slices[sender.index];
-    if before.is_some() {
-        for place in slice.shards() {
-            forget_report(&mut request.legs[place]);
+    if previous.is_some() {
+        for position in slice.shards() {
+            discard_report(&mut request.parts[position]);
         }
     }
-    // A source's records hold those of all its shards: they replace answers that this node got.
-    let answered = slice.source().map_or(&[][..], |asked| &asked.answered);
-    for (place, signature) in answered {
-        let leg = &mut request.legs[*place];
-        leg.state = LegState::Reported(signature.clone());
-        leg.look_at = None;
+    // The records of a source cover all its shards, so they replace answers received locally.
+    let answered = slice
+        .source()
+        .map_or(&[][..], |delegation| &delegation.answered);
+    for (position, signature) in answered {
+        let part = &mut request.parts[*position];
+        part.state = PartState::AnsweredByOwner(signature.clone());
+        part.check_at = None;
     }
 }
 
-fn forget_report(leg: &mut Leg) {
-    if matches!(leg.state, LegState::Reported(_)) {
-        leg.state = LegState::Delegated;
+fn discard_report(part: &mut Part) {
+    if matches!(part.state, PartState::AnsweredByOwner(_)) {
+        part.state = PartState::Delegated;
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/request.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/request.rs
@@ -1,8 +1,8 @@
-//! A request under way.
+//! In-flight requests.
 
-use super::leg::Leg;
-use super::owning::{Coordinator, GrantState};
+use super::part::Part;
 use super::slice::Slice;
+use super::slice_owner::{Coordinator, GrantState};
 use crate::driver_action::CallerId;
 use crate::gateway::notes::{AttemptNote, SliceNote};
 use crate::gateway::patience::CallerTry;
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 use thornbridge_proto::fingerprint::Fingerprint;
 
-/// Who gets the answer of a request.
+/// Recipient of a request's answer.
 #[derive(Clone, Debug)]
 pub(super) enum Origin {
     /// A caller of this node.
     Caller,
-    /// The node whose caller's gather it is a slice of.
+    /// Coordinator of the gather of which the request is a slice.
     Coordinator(Coordinator),
 }
 
-/// A request under way.
+/// An in-flight request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) caller: CallerId,
@@ -29,25 +29,24 @@
     pub(super) fingerprint: Fingerprint,
     pub(super) route: Arc<ResolvedRoute>,
     pub(super) arrived: Timestamp,
-    /// Which try of its caller it is.
     pub(super) caller_try: CallerTry,
-    /// When an answer has to leave to be worth most.
-    pub(super) answer_by: Timestamp,
-    /// When the final answer has to leave.
-    pub(super) ends: Timestamp,
-    pub(super) legs: Vec<Leg>,
-    /// Most attempts for each part, those of other nodes included.
-    pub(super) attempts: u32,
-    /// When it is in the schedule.
-    pub(super) look_at: Timestamp,
+    /// When an answer must leave to meet the latency objective.
+    pub(super) soft_deadline: Timestamp,
+    /// When the final answer must leave.
+    pub(super) deadline: Timestamp,
+    pub(super) parts: Vec<Part>,
+    /// Attempt limit per part, including attempts of other nodes.
+    pub(super) max_attempts: u32,
+    /// Time of the next check in the schedule.
+    pub(super) check_at: Timestamp,
     pub(super) notes: Vec<AttemptNote>,
-    pub(super) denied: usize,
+    pub(super) budget_denials: usize,
     pub(super) origin: Origin,
-    /// Slices that other nodes answer.
+    /// Slices delegated to other nodes.
     pub(super) slices: Vec<Slice>,
 }
 
-/// How the parts stand.
+/// Number of parts by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Progress {
     pub(super) all: usize,
@@ -65,18 +64,18 @@
 impl Request {
     pub(super) fn progress(&self) -> Progress {
         let mut progress = Progress {
-            all: self.legs.len(),
+            all: self.parts.len(),
             ..Progress::default()
         };
-        for leg in &self.legs {
-            progress.answered += usize::from(leg.is_answered());
-            progress.failed += usize::from(leg.is_failed());
+        for part in &self.parts {
+            progress.answered += usize::from(part.is_answered());
+            progress.failed += usize::from(part.is_failed());
         }
         progress
     }
 
-    /// Whether its caller tried before, and so does not come back.
-    pub(super) fn is_last_try(&self) -> bool {
+    /// Whether the caller tried before and will not retry again.
+    pub(super) fn is_caller_retry(&self) -> bool {
         self.caller_try == CallerTry::Later
     }
 
@@ -84,39 +83,42 @@
         matches!(self.route.target, ResolvedTarget::Gather(_))
     }
 
-    /// Whether any server may have run a part of it.
+    /// Whether any server may have run a part.
     pub(super) fn may_have_run(&self) -> bool {
-        let legs = self.legs.iter().any(|leg| leg.ran() > 0);
-        legs || self.slices.iter().any(|slice| slice.granted > 0)
+        let parts = self.parts.iter().any(|part| part.possible_runs() > 0);
+        parts || self.slices.iter().any(|slice| slice.granted_attempts > 0)
     }
 
-    /// Parts that only silent nodes could answer yet.
-    pub(super) fn stuck(&self) -> usize {
-        let stuck = self.slices.iter().filter(|slice| !slice.is_waiting());
-        let legs = stuck.flat_map(|slice| &self.legs[slice.shards()]);
-        legs.filter(|leg| leg.is_delegated()).count()
+    /// Number of parts that only silent owners could answer.
+    pub(super) fn stalled_parts(&self) -> usize {
+        let stalled = self
+            .slices
+            .iter()
+            .filter(|slice| !slice.has_responsive_owner());
+        let parts = stalled.flat_map(|slice| &self.parts[slice.shards()]);
+        parts.filter(|part| part.is_delegated()).count()
     }
 
-    /// Slices that have an owner that is silent.
-    pub(super) fn silent_owners(&self) -> usize {
+    /// Number of slices with a silent owner.
+    pub(super) fn slices_with_silent_owner(&self) -> usize {
         let silent = self.slices.iter().filter(|slice| slice.has_silent_owner());
         silent.count()
     }
 
-    /// Whether more than half of its slices have one.
-    pub(super) fn most_owners_are_silent(&self) -> bool {
-        self.silent_owners() * 2 > self.slices.len()
+    /// Whether more than half of the slices have a silent owner.
+    pub(super) fn most_slices_have_silent_owner(&self) -> bool {
+        self.slices_with_silent_owner() * 2 > self.slices.len()
     }
 
-    /// Before this no second attempt is made, where its coordinator said so.
-    pub(super) fn second_after(&self) -> Option<Timestamp> {
+    /// Earliest time of a hedge, if the coordinator set one.
+    pub(super) fn hedge_not_before(&self) -> Option<Timestamp> {
         match &self.origin {
             Origin::Caller => None,
-            Origin::Coordinator(coordinator) => Some(coordinator.second_after),
+            Origin::Coordinator(coordinator) => Some(coordinator.hedge_not_before),
         }
     }
 
-    /// The node whose caller's gather it is a slice of.
+    /// Coordinator, if the request is a slice.
     pub(super) fn coordinator(&self) -> Option<SocketAddr> {
         match &self.origin {
             Origin::Caller => None,
@@ -124,13 +126,13 @@
         }
     }
 
-    /// Its slices, for the log.
+    /// Delegations of the request, for the log.
     pub(super) fn slice_notes(&self) -> Vec<SliceNote> {
         let slices = self.slices.iter();
         slices.flat_map(|slice| slice.notes(self.arrived)).collect()
     }
 
-    /// Whether its coordinator may grant it further attempts.
+    /// Whether the coordinator may still grant further attempts.
     pub(super) fn awaits_grant(&self) -> bool {
         match &self.origin {
             Origin::Caller => false,
@@ -138,54 +140,58 @@
         }
     }
 
-    /// A part needs an attempt that was not granted yet: its coordinator is asked, once.
+    /// Schedules a request for further attempts, at most once.
     pub(super) fn request_grant(&mut self) {
         if let Origin::Coordinator(coordinator) = &mut self.origin
             && coordinator.grant == GrantState::NotRequested
         {
-            coordinator.must_report = true;
+            coordinator.report_due = true;
         }
     }
 
-    /// When a report is due to its coordinator.
-    pub(super) fn report_at(&self) -> Option<Timestamp> {
+    /// When the first report to the coordinator is due.
+    pub(super) fn first_report_at(&self) -> Option<Timestamp> {
         match &self.origin {
-            Origin::Coordinator(coordinator) if coordinator.reported.is_none() => {
-                Some(coordinator.second_after.min(self.answer_by))
+            Origin::Coordinator(coordinator) if coordinator.last_report_at.is_none() => {
+                Some(coordinator.hedge_not_before.min(self.soft_deadline))
             }
             _ => None,
         }
     }
 
-    /// When late parts are told to its coordinator, where some wait for that.
+    /// When a report of late parts is due, if there are any.
     fn late_report_at(&self) -> Option<Timestamp> {
         let Origin::Coordinator(coordinator) = &self.origin else {
             return None;
         };
-        let news = self.legs.iter().any(|leg| leg.is_over() && !leg.reported);
+        let has_unreported = self
+            .parts
+            .iter()
+            .any(|part| part.is_finished() && !part.reported);
         coordinator
             .next_report()
-            .filter(|_| news)
-            .map(|time| time.max(self.answer_by))
+            .filter(|_| has_unreported)
+            .map(|time| time.max(self.soft_deadline))
     }
 
-    /// When it is to be looked at, if no attempt ends before.
-    pub(super) fn next_look(&self, now: Timestamp) -> Timestamp {
-        let legs = self.legs.iter().filter(|leg| !leg.is_over());
-        let legs = legs.filter_map(|leg| leg.look_at).min();
-        let answer_by = (self.is_gather() && now < self.answer_by).then_some(self.answer_by);
+    /// When to check the request next, unless an attempt ends first.
+    pub(super) fn next_check(&self, now: Timestamp) -> Timestamp {
+        let parts = self.parts.iter().filter(|part| !part.is_finished());
+        let parts = parts.filter_map(|part| part.check_at).min();
+        let soft_deadline =
+            (self.is_gather() && now < self.soft_deadline).then_some(self.soft_deadline);
         let silent = self.slices.iter().filter_map(|slice| slice.silent_at).min();
         [
-            legs,
-            answer_by,
+            parts,
+            soft_deadline,
             silent,
-            self.report_at(),
+            self.first_report_at(),
             self.late_report_at(),
-            Some(self.ends),
+            Some(self.deadline),
         ]
         .into_iter()
         .flatten()
         .min()
-        .unwrap_or(self.ends)
+        .unwrap_or(self.deadline)
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -1,4 +1,4 @@
-//! One slice of a gather, as its coordinator sees it.
+//! Slices of a gather and their delegations, as tracked by the coordinator.
 
 use super::Scope;
 use crate::gateway::action::GatewayAction;
@@ -12,36 +12,36 @@
 use thornbridge_proto::peer::PeerMessage;
 use thornbridge_proto::peer::slice::{SliceId, SliceMessage};
 
-/// Owners that are asked for one slice at most.
-pub(super) const OWNERS_ASKED: usize = 2;
+/// Maximum number of owners to which one slice is delegated.
+pub(super) const MAX_DELEGATIONS: usize = 2;
 
-/// One owner that was asked, and what it reported.
+/// Delegation of a slice to one owner, and its reports.
 #[derive(Clone, Debug)]
-pub(super) struct AskedOwner {
+pub(super) struct Delegation {
     pub(super) owner: SocketAddr,
     pub(super) id: SliceId,
-    pub(super) at: Timestamp,
+    pub(super) sent_at: Timestamp,
     pub(super) outcome: SliceOutcome,
-    /// Places of the shards that it reported as answered, with their signatures.
+    /// Indices of the shards reported as answered, with their signatures.
     pub(super) answered: Vec<(usize, Bytes)>,
-    /// Greatest records of those shards, by report.
+    /// Merged records of the answered shards, one entry per report.
     pub(super) records: Vec<Bytes>,
 }
 
-impl AskedOwner {
-    pub(super) fn new(owner: SocketAddr, id: SliceId, at: Timestamp) -> Self {
+impl Delegation {
+    pub(super) fn new(owner: SocketAddr, id: SliceId, sent_at: Timestamp) -> Self {
         Self {
             owner,
             id,
-            at,
+            sent_at,
             outcome: SliceOutcome::Asked,
             answered: Vec::new(),
             records: Vec::new(),
         }
     }
 
-    /// Whether it may still report.
-    pub(super) fn is_open(&self) -> bool {
+    /// Whether the owner may still send a report.
+    pub(super) fn may_report(&self) -> bool {
         match self.outcome {
             SliceOutcome::Asked | SliceOutcome::Silent | SliceOutcome::Reporting => true,
             SliceOutcome::Finished | SliceOutcome::Refused | SliceOutcome::Lost => false,
@@ -49,20 +49,19 @@
     }
 }
 
-/// One slice.
+/// A slice of a gather.
 #[derive(Debug)]
 pub(super) struct Slice {
     pub(super) plan: Arc<Plan>,
     pub(super) group: usize,
-    pub(super) asked: Vec<AskedOwner>,
-    /// Owner whose reports count. The records of a report cannot be told apart by shard, so that
-    /// those of two owners are never mixed.
+    pub(super) delegations: Vec<Delegation>,
+    /// Delegation whose reports are used. Reported records cannot be attributed to shards, so
+    /// reports of two owners are never combined.
     pub(super) source: Option<SliceId>,
-    /// When an owner that has not reported by then counts as silent.
+    /// When an owner that has not reported counts as silent.
     pub(super) silent_at: Option<Timestamp>,
-    /// Attempts that were granted for each of its shards: no node makes one that it was not granted,
-    /// so that all of them together stay within the route's limit.
-    pub(super) granted: u32,
+    /// Attempts granted per shard to all nodes together; bounded by the route's limit.
+    pub(super) granted_attempts: u32,
 }
 
 impl Slice {
@@ -70,87 +69,94 @@
         Self {
             plan,
             group,
-            asked: Vec::new(),
+            delegations: Vec::new(),
             source: None,
             silent_at: None,
-            granted: 0,
+            granted_attempts: 0,
         }
     }
 
-    /// Places of its shards.
+    /// Indices of the slice's shards in the gather.
     pub(super) fn shards(&self) -> Range<usize> {
         self.plan.groups[self.group].shards.clone()
     }
 
-    /// Owners that were asked.
+    /// Owners to which the slice was delegated.
     pub(super) fn owners(&self) -> Vec<SocketAddr> {
-        self.asked.iter().map(|asked| asked.owner).collect()
+        self.delegations
+            .iter()
+            .map(|delegation| delegation.owner)
+            .collect()
     }
 
-    /// Owners that may still report.
-    pub(super) fn open(&self) -> impl Iterator<Item = &AskedOwner> {
-        self.asked.iter().filter(|asked| asked.is_open())
+    /// Delegations that may still be reported on.
+    pub(super) fn open_delegations(&self) -> impl Iterator<Item = &Delegation> {
+        self.delegations
+            .iter()
+            .filter(|delegation| delegation.may_report())
     }
 
-    /// Whether this owner was asked for it under this identity.
-    pub(super) fn was_asked(&self, owner: SocketAddr, id: SliceId) -> bool {
-        let mut asked = self.asked.iter();
-        asked.any(|asked| asked.id == id && asked.owner == owner)
+    /// Whether the slice was delegated to this owner under this id.
+    pub(super) fn is_delegated_to(&self, owner: SocketAddr, id: SliceId) -> bool {
+        let mut delegations = self.delegations.iter();
+        delegations.any(|delegation| delegation.id == id && delegation.owner == owner)
     }
 
-    /// Whether an owner that was asked has not reported yet, and is not late.
-    pub(super) fn is_unheard(&self) -> bool {
-        let mut asked = self.asked.iter();
-        asked.any(|asked| asked.outcome == SliceOutcome::Asked)
+    /// Whether an owner that is not silent has yet to send its first report.
+    pub(super) fn awaits_first_report(&self) -> bool {
+        let mut delegations = self.delegations.iter();
+        delegations.any(|delegation| delegation.outcome == SliceOutcome::Asked)
     }
 
-    /// Whether it waits for an owner that is not known to be silent.
-    pub(super) fn is_waiting(&self) -> bool {
-        let mut open = self.open();
-        open.any(|asked| asked.outcome != SliceOutcome::Silent)
+    /// Whether an owner that is not silent may still report.
+    pub(super) fn has_responsive_owner(&self) -> bool {
+        let mut delegations = self.open_delegations();
+        delegations.any(|delegation| delegation.outcome != SliceOutcome::Silent)
     }
 
-    /// Whether an owner that was asked is silent.
+    /// Whether any owner is silent.
     pub(super) fn has_silent_owner(&self) -> bool {
-        let mut asked = self.asked.iter();
-        asked.any(|asked| asked.outcome == SliceOutcome::Silent)
+        let mut delegations = self.delegations.iter();
+        delegations.any(|delegation| delegation.outcome == SliceOutcome::Silent)
     }
 
-    /// The owner that has this identity.
-    pub(super) fn asked_mut(&mut self, id: SliceId) -> Option<&mut AskedOwner> {
-        self.asked.iter_mut().find(|asked| asked.id == id)
+    pub(super) fn delegation_mut(&mut self, id: SliceId) -> Option<&mut Delegation> {
+        self.delegations
+            .iter_mut()
+            .find(|delegation| delegation.id == id)
     }
 
-    /// The owner whose reports count.
-    pub(super) fn source(&self) -> Option<&AskedOwner> {
+    /// Delegation whose reports are used.
+    pub(super) fn source(&self) -> Option<&Delegation> {
         let id = self.source?;
-        self.asked.iter().find(|asked| asked.id == id)
+        self.delegations
+            .iter()
+            .find(|delegation| delegation.id == id)
     }
 
-    /// Records of the reports that count.
+    /// Records of the source's reports.
     pub(super) fn records(&self) -> &[Bytes] {
-        self.source().map_or(&[], |asked| &asked.records)
+        self.source().map_or(&[], |delegation| &delegation.records)
     }
 
-    /// Takes an owner's state over.
     pub(super) fn set_outcome(&mut self, id: SliceId, outcome: SliceOutcome) {
-        if let Some(asked) = self.asked_mut(id) {
-            asked.outcome = outcome;
+        if let Some(delegation) = self.delegation_mut(id) {
+            delegation.outcome = outcome;
         }
     }
 
-    /// For the log.
+    /// Delegations, for the log.
     pub(super) fn notes(&self, arrived: Timestamp) -> impl Iterator<Item = SliceNote> {
-        let asked = self.asked.iter();
-        asked.map(move |asked| SliceNote {
-            owner: asked.owner,
-            asked_after: asked.at.since(arrived),
-            outcome: asked.outcome,
+        let delegations = self.delegations.iter();
+        delegations.map(move |delegation| SliceNote {
+            owner: delegation.owner,
+            asked_after: delegation.sent_at.since(arrived),
+            outcome: delegation.outcome,
         })
     }
 }
 
-/// Sends a message about a slice to the node on its other side.
+/// Sends a slice message to the coordinator or an owner.
 pub(super) fn send_message(scope: &mut Scope<'_>, to: SocketAddr, message: SliceMessage) {
     let message = PeerMessage::Slice(message);
     scope
--- a/crates/thornbridge-core/src/gateway/exchange/delegating.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
@@ -1,14 +1,14 @@
-//! A gather's coordinator: asks owners for its slices, and other owners in place of those that are
-//! gone or silent.
+//! Coordinator of a divided gather: delegates slices to owners, and again when an owner is lost or
+//! silent.
 //!
-//! Guards against owners that do not answer, without a shard's request reaching more servers than
-//! its route allows: the coordinator grants the attempts. An owner begins with one for each shard and
-//! is granted the rest when it reports, if no other owner was asked meanwhile. An owner that is merely
-//! slow may therefore go on beside the one that was asked in its place.
+//! The coordinator grants attempts, so that a shard's request reaches no more servers than its
+//! route allows. An owner starts with one attempt per shard and is granted the rest when it
+//! reports, unless the slice was delegated again meanwhile. A slow owner may therefore run beside
+//! its replacement.
 
-use super::leg::{Leg, LegState};
+use super::part::{Part, PartState};
 use super::request::Request;
-use super::slice::{AskedOwner, OWNERS_ASKED, Slice, send_message};
+use super::slice::{Delegation, MAX_DELEGATIONS, Slice, send_message};
 use super::{Exchanges, Scope};
 use crate::driver_action::CallerId;
 use crate::gateway::action::GatewayAction;
@@ -21,44 +21,50 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::{SliceId, SliceMessage, SliceStop, SliceTask};
 
-/// Lateness of a timer from which it is this node that does not keep up.
-const LATE_LOOK: Duration = Duration::from_millis(10);
+/// Timer lateness from which this node is considered overloaded.
+const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(10);
 
 impl Exchanges {
-    /// Asks an owner for each slice of a request.
-    pub(super) fn delegate(
+    /// Delegates each slice of a request.
+    pub(super) fn delegate_gather(
         &mut self,
         scope: &mut Scope<'_>,
         request: &mut Request,
         plan: &Arc<Plan>,
     ) {
-        for leg in &mut request.legs {
-            leg.state = LegState::Delegated;
+        for part in &mut request.parts {
+            part.state = PartState::Delegated;
         }
         for group in 0..plan.groups.len() {
             request.slices.push(Slice::new(Arc::clone(plan), group));
             let index = request.slices.len() - 1;
-            self.ask_owner(scope, request, index);
+            self.delegate_slice(scope, request, index);
         }
     }
 
-    /// Asks the next owner of a slice for the shards that are open; where there is none, this node serves
-    /// them.
-    pub(super) fn ask_owner(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
+    /// Delegates the open shards of a slice to its next owner, or serves them locally if there is
+    /// none.
+    pub(super) fn delegate_slice(
+        &mut self,
+        scope: &mut Scope<'_>,
+        request: &mut Request,
+        index: usize,
+    ) {
         let slice = &request.slices[index];
-        let legs = &request.legs[slice.shards()];
-        if !legs.iter().any(Leg::is_delegated) {
+        let parts = &request.parts[slice.shards()];
+        if !parts.iter().any(Part::is_delegated) {
             return;
         }
-        let asked = slice.owners();
+        let delegated_to = slice.owners();
         let group = &slice.plan.groups[slice.group];
-        let owner = scope.slices.choose_owner(scope.now, group, &asked);
-        let may_ask = asked.len() < OWNERS_ASKED && slice.granted < request.attempts;
-        match owner.filter(|_| may_ask) {
+        let owner = scope.slices.choose_owner(scope.now, group, &delegated_to);
+        let may_delegate =
+            delegated_to.len() < MAX_DELEGATIONS && slice.granted_attempts < request.max_attempts;
+        match owner.filter(|_| may_delegate) {
             Some(owner) if owner != scope.own_address => {
                 self.send_task(scope, request, index, owner);
             }
-            _ => serve_here(request, index),
+            _ => serve_locally(request, index),
         }
     }
 
@@ -69,8 +75,8 @@
         index: usize,
         owner: SocketAddr,
     ) {
-        let second_after = self.second_after(scope, request, index);
-        let Some(task) = task(scope, request, index, second_after) else {
+        let hedge_not_before = self.hedge_not_before(scope, request, index);
+        let Some(task) = slice_task(scope, request, index, hedge_not_before) else {
             return;
         };
         let id = task.slice;
@@ -78,10 +84,12 @@
         let overhead = scope.slices.overhead(objective);
         let margin = objective.mul_f64(self.parameters.silent_owner_share);
         let slice = &mut request.slices[index];
-        slice.asked.push(AskedOwner::new(owner, id, scope.now));
-        slice.silent_at = Some(second_after + overhead + margin);
-        slice.granted += 1;
-        self.slices.insert(id, (request.caller, index));
+        slice
+            .delegations
+            .push(Delegation::new(owner, id, scope.now));
+        slice.silent_at = Some(hedge_not_before + overhead + margin);
+        slice.granted_attempts += 1;
+        self.delegated_slices.insert(id, (request.caller, index));
         scope.slices.spoke_to(scope.now, owner);
         let caller = request.caller;
         let task = Box::new(task);
@@ -92,18 +100,23 @@
         });
     }
 
-    /// Before this no second attempt of a shard is worth its cost; its owner reports then.
-    fn second_after(&self, scope: &mut Scope<'_>, request: &Request, index: usize) -> Timestamp {
+    /// Earliest time at which a hedge of a shard is worth its cost; the owner reports then.
+    fn hedge_not_before(
+        &self,
+        scope: &mut Scope<'_>,
+        request: &Request,
+        index: usize,
+    ) -> Timestamp {
         let parameters = &self.parameters;
         let objective = request.route.route.latency_objective;
         let statistics = scope.routes.statistics(request.route.key);
         let work = statistics.work.quantile(parameters.hedge_quantile);
         let work = work.unwrap_or_else(|| objective.mul_f64(parameters.hedge_initial_share));
         let parts = request.slices[index].shards().len();
-        scope.now + work + scope.slices.time_for(parts)
+        scope.now + work + scope.slices.processing_time(parts)
     }
 
-    /// Asks other owners in place of those that are silent.
+    /// Delegates the slices of silent owners again.
     pub(super) fn advance_slices(&mut self, scope: &mut Scope<'_>, request: &mut Request) {
         let mut silent = Vec::new();
         for index in 0..request.slices.len() {
@@ -111,26 +124,27 @@
             let Some(silent_at) = slice.silent_at.filter(|time| *time <= scope.now) else {
                 continue;
             };
-            if scope.now.since(silent_at) > LATE_LOOK {
-                // This node is late itself: the report may wait in its queue.
-                slice.silent_at = Some(scope.now + LATE_LOOK);
+            if scope.now.since(silent_at) > LATE_TIMER_THRESHOLD {
+                // The timer is late, so the report may be queued in this node.
+                slice.silent_at = Some(scope.now + LATE_TIMER_THRESHOLD);
                 continue;
             }
             slice.silent_at = None;
-            let unheard = slice.asked.iter_mut();
-            let unheard = unheard.filter(|asked| asked.outcome == SliceOutcome::Asked);
-            for asked in unheard {
-                asked.outcome = SliceOutcome::Silent;
-                scope.slices.owner_failed(scope.now, asked.owner);
+            let unreported = slice.delegations.iter_mut();
+            let unreported =
+                unreported.filter(|delegation| delegation.outcome == SliceOutcome::Asked);
+            for delegation in unreported {
+                delegation.outcome = SliceOutcome::Silent;
+                scope.slices.owner_failed(scope.now, delegation.owner);
             }
             silent.push(index);
         }
         for index in silent {
-            self.ask_instead(scope, request, index);
+            self.redelegate(scope, request, index);
         }
     }
 
-    /// An owner will not report any more.
+    /// Handles an owner that will send no more reports.
     pub(super) fn owner_lost(
         &mut self,
         scope: &mut Scope<'_>,
@@ -139,40 +153,39 @@
         id: SliceId,
         outcome: SliceOutcome,
     ) {
-        self.slices.remove(&id);
+        self.delegated_slices.remove(&id);
         let slice = &mut request.slices[index];
         slice.set_outcome(id, outcome);
         if outcome == SliceOutcome::Refused {
-            slice.granted -= 1;
+            slice.granted_attempts -= 1;
         }
-        if slice.open().next().is_none() {
+        if slice.open_delegations().next().is_none() {
             slice.silent_at = None;
-            self.ask_owner(scope, request, index);
+            self.delegate_slice(scope, request, index);
         } else {
-            self.ask_instead(scope, request, index);
+            self.redelegate(scope, request, index);
         }
     }
 
-    /// Asks another owner where only silent ones are left and attempts are. Where most owners are
-    /// silent, others would be, too: it may be this node that is cut off, and it serves the shards
-    /// itself.
-    fn ask_instead(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
+    /// Delegates a slice again if its owners are silent and attempts are left. When most owners are
+    /// silent this node may be partitioned, and serves the shards itself.
+    fn redelegate(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
         let slice = &request.slices[index];
-        if slice.is_waiting() || slice.granted >= request.attempts {
+        if slice.has_responsive_owner() || slice.granted_attempts >= request.max_attempts {
             return;
         }
-        if request.most_owners_are_silent() {
-            note_missing_owners(scope, request);
-            serve_here(request, index);
+        if request.most_slices_have_silent_owner() {
+            suspend_division(scope, request);
+            serve_locally(request, index);
         } else {
-            self.ask_owner(scope, request, index);
+            self.delegate_slice(scope, request, index);
         }
     }
 
-    /// The link to a node broke: its slices are lost, and those asked for by it are over.
+    /// Handles a broken peer link: slices delegated to the peer are lost, slices served for it end.
     pub(in crate::gateway) fn peer_lost(&mut self, scope: &mut Scope<'_>, peer: SocketAddr) {
         scope.slices.link_lost(peer);
-        let slices = self.slices.iter();
+        let slices = self.delegated_slices.iter();
         let slices = slices.map(|(id, (caller, index))| (*id, *caller, *index));
         let slices: Vec<(SliceId, CallerId, usize)> = slices.collect();
         let mut failed = false;
@@ -180,7 +193,7 @@
             let Some(mut request) = self.requests.remove(&caller) else {
                 continue;
             };
-            let lost = request.slices[index].was_asked(peer, id);
+            let lost = request.slices[index].is_delegated_to(peer, id);
             if lost {
                 failed = true;
                 self.owner_lost(scope, &mut request, index, id, SliceOutcome::Lost);
@@ -196,7 +209,7 @@
         self.coordinator_lost(scope, peer);
     }
 
-    /// The request is over: owners that may still report are told.
+    /// Tells owners that may still report that the request is finished.
     pub(super) fn stop_slices(
         &mut self,
         scope: &mut Scope<'_>,
@@ -204,35 +217,39 @@
         reason: SliceStop,
     ) {
         for slice in &request.slices {
-            for asked in slice.open() {
-                let slice = asked.id;
-                send_message(scope, asked.owner, SliceMessage::Stop { slice, reason });
+            for delegation in slice.open_delegations() {
+                let slice = delegation.id;
+                send_message(
+                    scope,
+                    delegation.owner,
+                    SliceMessage::Stop { slice, reason },
+                );
             }
-            for asked in &slice.asked {
-                self.slices.remove(&asked.id);
+            for delegation in &slice.delegations {
+                self.delegated_slices.remove(&delegation.id);
             }
         }
     }
 }
 
-fn note_missing_owners(scope: &mut Scope<'_>, request: &Request) {
-    let Some(lasts) = scope.slices.owners_missing(scope.now) else {
+fn suspend_division(scope: &mut Scope<'_>, request: &Request) {
+    let Some(lasts) = scope.slices.suspend_division(scope.now) else {
         return;
     };
     let change = GatewayChange::OwnersMissing {
-        silent: request.silent_owners(),
+        silent: request.slices_with_silent_owner(),
         slices: request.slices.len(),
         lasts,
     };
     scope.actions.push_back(GatewayAction::Changed(change));
 }
 
-/// What the next owner of a slice is asked to do: with one attempt for each shard.
-fn task(
+/// Task for the next owner of a slice, with one attempt per shard.
+fn slice_task(
     scope: &mut Scope<'_>,
     request: &Request,
     index: usize,
-    second_after: Timestamp,
+    hedge_not_before: Timestamp,
 ) -> Option<SliceTask> {
     let ResolvedTarget::Gather(gather) = &request.route.target else {
         return None;
@@ -240,9 +257,9 @@
     let slice = &request.slices[index];
     let route = &request.route.route;
     let overhead = scope.slices.overhead(route.latency_objective);
-    let left = request.answer_by.since(scope.now);
+    let remaining = request.soft_deadline.since(scope.now);
     Some(SliceTask {
-        slice: scope.slices.next_id(),
+        slice: scope.slices.allocate_id(),
         request_id: request.id.clone(),
         fingerprint: request.fingerprint,
         host: route.host.clone(),
@@ -250,34 +267,34 @@
         version: request.route.version.0,
         shards: shard_names(scope, gather, slice),
         records: u32::try_from(gather.records).unwrap_or(u32::MAX),
-        attempts: slice.granted + 1,
-        prior_attempts: slice.granted,
+        attempts: slice.granted_attempts + 1,
+        prior_attempts: slice.granted_attempts,
         objective_us: micros(route.latency_objective),
-        report_in_us: micros(left.saturating_sub(overhead)),
-        second_after_us: micros(second_after.since(scope.now)),
-        ends_in_us: micros(request.ends.since(scope.now)),
+        report_in_us: micros(remaining.saturating_sub(overhead)),
+        second_after_us: micros(hedge_not_before.since(scope.now)),
+        ends_in_us: micros(request.deadline.since(scope.now)),
     })
 }
 
-/// This node serves the shards of a slice that no owner answered, with the attempts that are left.
-fn serve_here(request: &mut Request, index: usize) {
+/// Serves the open shards of a slice on this node, with the remaining attempts.
+fn serve_locally(request: &mut Request, index: usize) {
     let slice = &mut request.slices[index];
-    let granted = slice.granted;
-    let may_send = granted < request.attempts;
-    slice.granted = request.attempts;
-    let cause = match granted {
+    let granted_attempts = slice.granted_attempts;
+    let may_send = granted_attempts < request.max_attempts;
+    slice.granted_attempts = request.max_attempts;
+    let cause = match granted_attempts {
         0 => AttemptCause::First,
         _ => AttemptCause::Retry,
     };
-    for place in slice.shards() {
-        let leg = &mut request.legs[place];
-        if !leg.is_delegated() {
+    for position in slice.shards() {
+        let part = &mut request.parts[position];
+        if !part.is_delegated() {
             continue;
         }
-        leg.prior = granted;
-        leg.state = match may_send {
-            true => LegState::Wanting(cause),
-            false => LegState::Failed,
+        part.prior_attempts = granted_attempts;
+        part.state = match may_send {
+            true => PartState::NeedsAttempt(cause),
+            false => PartState::Failed,
         };
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/owning.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -1,12 +1,12 @@
-//! An owner's side of slices: a slice is a request whose answer goes to its coordinator in reports.
+//! Owner of slices: serves a slice as a request that is answered by reports to its coordinator.
 //!
-//! A report leaves when all shards are over, when second attempts begin, when it is due, and from
-//! then on with each shard that answers late, until the coordinator wants no more. An owner comes with
-//! one attempt for each shard, and asks its coordinator for more with the first report that leaves
-//! shards open: it may not make any that another owner may have made.
+//! A report is sent when all shards are finished, when hedging begins, at the soft deadline, and
+//! from then on as late shards answer, until the coordinator stops the slice. An owner starts with
+//! one attempt per shard and requests more with the first report that leaves shards open, because
+//! another owner may have used them.
 
-use super::leg::{Leg, LegState};
 use super::merging::greatest_records;
+use super::part::{Part, PartState};
 use super::request::{Origin, Request};
 use super::slice::send_message;
 use super::{Exchanges, Scope};
@@ -23,27 +23,26 @@
 use thornbridge_proto::byte_string::SharedBytes;
 use thornbridge_proto::peer::slice::{SliceId, SliceMessage, SliceReport, SliceStop, SliceTask};
 
-/// Callers with this bit are slices of other nodes' requests.
-const SLICE_CALLERS: u64 = 1 << 63;
+/// Bit set in the caller ids of served slices.
+const SLICE_CALLER_BIT: u64 = 1 << 63;
 
-/// Least time between two reports of a slice, but for its last: each costs both nodes about as much
-/// as a part.
+/// Minimum interval between reports of a slice, except the last: a report costs both nodes about as
+/// much as a part.
 const REPORT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Attempts beyond those that a slice came with: whether its coordinator was asked for them.
+/// State of the request for further attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantState {
-    /// Not yet.
     NotRequested,
-    /// It was, and has not answered.
+    /// Requested and not answered.
     Requested,
-    /// It answered, or there is nothing to ask for.
+    /// Answered, or nothing to request.
     Settled,
 }
 
 impl GrantState {
-    /// A coordinator keeps the other attempts back from the first owner of a slice.
-    fn of_task(task: &SliceTask) -> Self {
+    /// Only the first owner of a slice has further attempts to request.
+    fn from_task(task: &SliceTask) -> Self {
         match (task.prior_attempts, task.attempts) {
             (0, 1) => Self::NotRequested,
             _ => Self::Settled,
@@ -51,35 +50,33 @@
     }
 }
 
-/// The coordinator of a slice, and what it knows.
+/// Coordinator of a served slice, and the state of reporting to it.
 #[derive(Clone, Debug)]
 pub(super) struct Coordinator {
     pub(super) address: SocketAddr,
     pub(super) slice: SliceId,
-    /// Before this no second attempt is made.
-    pub(super) second_after: Timestamp,
-    /// Whether a report is due before anything else happens.
-    pub(super) must_report: bool,
-    /// Further attempts.
+    /// Earliest time of a hedge.
+    pub(super) hedge_not_before: Timestamp,
+    /// Whether a report is to be sent at the next opportunity.
+    pub(super) report_due: bool,
     pub(super) grant: GrantState,
-    /// When it was last told something.
-    pub(super) reported: Option<Timestamp>,
+    pub(super) last_report_at: Option<Timestamp>,
 }
 
 impl Coordinator {
-    /// Whether what came since the last report may be told, too.
+    /// Whether the interval since the last report has passed.
     fn may_report_again(&self, now: Timestamp) -> bool {
         self.next_report().is_none_or(|time| time <= now)
     }
 
-    /// When what comes after the last report is told, at the soonest.
+    /// Earliest time of the next report; `None` before the first.
     pub(super) fn next_report(&self) -> Option<Timestamp> {
-        Some(self.reported? + REPORT_INTERVAL)
+        Some(self.last_report_at? + REPORT_INTERVAL)
     }
 }
 
 impl Exchanges {
-    /// A coordinator asks for a slice.
+    /// Starts serving a slice.
     pub(in crate::gateway) fn serve_slice(
         &mut self,
         scope: &mut Scope<'_>,
@@ -91,8 +88,8 @@
         let services: Vec<_> = services
             .map(|name| scope.servers.known_service(name))
             .collect();
-        if self.served.contains_key(&(coordinator, task.slice)) {
-            // It is under way, so that a refusal would not be true.
+        if self.served_slices.contains_key(&(coordinator, task.slice)) {
+            // The slice is already in flight, so a refusal would be wrong.
             return;
         }
         let overloaded = self.requests.len() >= self.parameters.requests_maximum;
@@ -107,57 +104,57 @@
             return;
         }
         self.next_slice_caller += 1;
-        let caller = CallerId(SLICE_CALLERS | self.next_slice_caller);
-        let legs = services.into_iter().map(|service| match service {
+        let caller = CallerId(SLICE_CALLER_BIT | self.next_slice_caller);
+        let parts = services.into_iter().map(|service| match service {
             Some(service) => {
                 if task.prior_attempts == 0 {
                     scope.budget.request(scope.now, service);
                 }
-                let mut leg = Leg::new(service);
-                leg.prior = task.prior_attempts;
-                leg
+                let mut part = Part::new(service);
+                part.prior_attempts = task.prior_attempts;
+                part
             }
-            None => Leg::unknown(),
+            None => Part::unknown(),
         });
-        let legs: Vec<Leg> = legs.collect();
+        let parts: Vec<Part> = parts.collect();
         let now = scope.now;
         let after = |micros: u64| now + Duration::from_micros(micros);
-        let ends = after(task.ends_in_us);
+        let deadline = after(task.ends_in_us);
         let request = Request {
             caller,
             id: task.request_id.clone(),
             fingerprint: task.fingerprint,
             arrived: now,
             caller_try: CallerTry::Unknown,
-            answer_by: after(task.report_in_us),
-            ends,
-            look_at: ends,
+            soft_deadline: after(task.report_in_us),
+            deadline,
+            check_at: deadline,
             notes: Vec::new(),
-            denied: 0,
+            budget_denials: 0,
             slices: Vec::new(),
             origin: Origin::Coordinator(Coordinator {
                 address: coordinator,
                 slice: task.slice,
-                second_after: after(task.second_after_us),
-                must_report: false,
-                grant: GrantState::of_task(&task),
-                reported: None,
+                hedge_not_before: after(task.second_after_us),
+                report_due: false,
+                grant: GrantState::from_task(&task),
+                last_report_at: None,
             }),
-            attempts: task.attempts,
-            route: Arc::new(route_of(scope, task, &legs)),
-            legs,
+            max_attempts: task.attempts,
+            route: Arc::new(slice_route(scope, task, &parts)),
+            parts,
         };
-        self.served
-            .insert((coordinator, slice_of(&request)), caller);
+        self.served_slices
+            .insert((coordinator, slice_id(&request)), caller);
         scope
             .actions
             .push_back(GatewayAction::Adopt { caller, relayed });
-        self.schedule.insert((request.look_at, caller));
+        self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
         self.advance(scope, caller);
     }
 
-    /// Tells a coordinator that nothing of a slice ran or will.
+    /// Reports to a coordinator that nothing of a slice ran or will run.
     pub(in crate::gateway) fn refuse_slice(
         &self,
         scope: &mut Scope<'_>,
@@ -168,7 +165,7 @@
         send_message(scope, coordinator, SliceMessage::Report { slice, report });
     }
 
-    /// The request that was relayed with a slice cannot be used: nothing of it left this node.
+    /// Refuses a slice whose relayed request is unusable; no attempt was sent.
     pub(in crate::gateway) fn relay_unusable(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -176,30 +173,37 @@
         if let Origin::Coordinator(coordinator) = &request.origin {
             let (address, slice) = (coordinator.address, coordinator.slice);
             self.refuse_slice(scope, address, slice);
-            self.end_owned(scope, caller, "slice_refused", true);
+            self.end_served_slice(scope, caller, "slice_refused", true);
         }
     }
 
-    /// Reports what is due of a slice; gives whether it is over.
-    pub(super) fn advance_owned(&mut self, scope: &mut Scope<'_>, request: &mut Request) -> bool {
-        let over = request.legs.iter().all(Leg::is_over) || scope.now >= request.ends;
-        let due = scope.now >= request.answer_by;
-        let first_due = request.report_at().is_some_and(|time| time <= scope.now);
+    /// Sends due reports; returns whether the slice is finished.
+    pub(super) fn advance_served_slice(
+        &mut self,
+        scope: &mut Scope<'_>,
+        request: &mut Request,
+    ) -> bool {
+        let finished = request.parts.iter().all(Part::is_finished) || scope.now >= request.deadline;
+        let due = scope.now >= request.soft_deadline;
+        let first_report_due = request
+            .first_report_at()
+            .is_some_and(|time| time <= scope.now);
         let Origin::Coordinator(coordinator) = &request.origin else {
             return false;
         };
-        let news = request
-            .legs
+        let has_unreported = request
+            .parts
             .iter()
-            .any(|leg| leg.is_over() && !leg.reported);
-        let late = due && news && coordinator.may_report_again(scope.now);
-        if over || coordinator.must_report || first_due || late {
-            report(scope, request, over);
+            .any(|part| part.is_finished() && !part.reported);
+        let late_report_due = due && has_unreported && coordinator.may_report_again(scope.now);
+        if finished || coordinator.report_due || first_report_due || late_report_due {
+            report(scope, request, finished);
         }
-        over
+        finished
     }
 
-    /// A coordinator answered a request for further attempts: so many in all for each shard.
+    /// Applies a grant: `attempts` is the new limit per shard, `lent` lists the shards with a lent
+    /// attempt.
     pub(in crate::gateway) fn attempts_granted(
         &mut self,
         scope: &mut Scope<'_>,
@@ -208,7 +212,7 @@
         attempts: u32,
         lent: &[u16],
     ) {
-        let Some(caller) = self.served.get(&(coordinator, slice)).copied() else {
+        let Some(caller) = self.served_slices.get(&(coordinator, slice)).copied() else {
             return;
         };
         let Some(mut request) = self.requests.remove(&caller) else {
@@ -217,21 +221,21 @@
         if let Origin::Coordinator(coordinator) = &mut request.origin {
             coordinator.grant = GrantState::Settled;
         }
-        request.attempts = request.attempts.max(attempts);
-        for place in lent {
-            if let Some(leg) = request.legs.get_mut(usize::from(*place)) {
-                leg.lend(scope.now);
+        request.max_attempts = request.max_attempts.max(attempts);
+        for position in lent {
+            if let Some(part) = request.parts.get_mut(usize::from(*position)) {
+                part.lend(scope.now);
             }
         }
-        for index in 0..request.legs.len() {
-            let may_send = self.may_send_more(&request, index);
-            request.legs[index].grant_settled(scope.now, may_send);
+        for index in 0..request.parts.len() {
+            let may_send = self.allows_another_attempt(&request, index);
+            request.parts[index].apply_grant(scope.now, may_send);
         }
         self.requests.insert(caller, request);
         self.advance(scope, caller);
     }
 
-    /// A coordinator wants no more of a slice.
+    /// Ends a slice whose reports the coordinator no longer wants.
     pub(in crate::gateway) fn slice_stopped(
         &mut self,
         scope: &mut Scope<'_>,
@@ -239,61 +243,63 @@
         slice: SliceId,
         reason: SliceStop,
     ) {
-        let Some(caller) = self.served.get(&(coordinator, slice)).copied() else {
+        let Some(caller) = self.served_slices.get(&(coordinator, slice)).copied() else {
             return;
         };
         match reason {
-            SliceStop::Answered => self.end_owned(scope, caller, "slice_answered", false),
-            SliceStop::CallerGone => self.end_owned(scope, caller, "slice_caller_gone", true),
+            SliceStop::Answered => self.end_served_slice(scope, caller, "slice_answered", false),
+            SliceStop::CallerGone => {
+                self.end_served_slice(scope, caller, "slice_caller_gone", true)
+            }
         }
     }
 
-    /// The link to a coordinator broke: nothing can be reported any more.
+    /// Ends the slices of a coordinator whose link broke.
     pub(super) fn coordinator_lost(&mut self, scope: &mut Scope<'_>, coordinator: SocketAddr) {
-        let served = self.served.iter();
+        let served = self.served_slices.iter();
         let lost = served.filter(|((address, _), _)| *address == coordinator);
         let lost: Vec<CallerId> = lost.map(|(_, caller)| *caller).collect();
         for caller in lost {
-            self.end_owned(scope, caller, "slice_coordinator_lost", true);
+            self.end_served_slice(scope, caller, "slice_coordinator_lost", true);
         }
     }
 
-    fn end_owned(
+    fn end_served_slice(
         &mut self,
         scope: &mut Scope<'_>,
         caller: CallerId,
         outcome: &'static str,
-        soon: bool,
+        cancel_now: bool,
     ) {
-        let ends = self.requests.get(&caller).map(|request| request.ends);
-        let ends = if soon {
+        let deadline = self.requests.get(&caller).map(|request| request.deadline);
+        let deadline = if cancel_now {
             scope.now
         } else {
-            ends.unwrap_or(scope.now)
+            deadline.unwrap_or(scope.now)
         };
-        let cut_at = ends.max(scope.now) + self.parameters.gone_grace;
-        if let Some(request) = self.forget(scope, caller, cut_at) {
-            self.release_owned(scope, &request);
-            self.note(scope, &request, outcome, None);
+        let cancel_at = deadline.max(scope.now) + self.parameters.gone_grace;
+        if let Some(request) = self.remove_request(scope, caller, cancel_at) {
+            self.release_served_slice(scope, &request);
+            self.log_outcome(scope, &request, outcome, None);
         }
     }
 
-    /// Takes a slice that is over off the tables.
-    pub(super) fn finish_owned(&mut self, scope: &mut Scope<'_>, request: Request) {
-        let cut_at = request.ends.max(scope.now) + self.parameters.gone_grace;
-        self.abandon(scope, &request, cut_at);
-        self.release_owned(scope, &request);
+    /// Removes a finished slice.
+    pub(super) fn finish_served_slice(&mut self, scope: &mut Scope<'_>, request: Request) {
+        let cancel_at = request.deadline.max(scope.now) + self.parameters.gone_grace;
+        self.abandon_attempts(scope, &request, cancel_at);
+        self.release_served_slice(scope, &request);
         let progress = request.progress();
         let outcome = match progress.answered == progress.all {
             true => "slice",
             false => "slice_partial",
         };
-        self.note(scope, &request, outcome, None);
+        self.log_outcome(scope, &request, outcome, None);
     }
 
-    fn release_owned(&mut self, scope: &mut Scope<'_>, request: &Request) {
+    fn release_served_slice(&mut self, scope: &mut Scope<'_>, request: &Request) {
         if let Origin::Coordinator(coordinator) = &request.origin {
-            self.served
+            self.served_slices
                 .remove(&(coordinator.address, coordinator.slice));
         }
         let caller = request.caller;
@@ -301,7 +307,7 @@
     }
 }
 
-/// Reports the shards that are over and were not reported yet.
+/// Reports the shards that are finished and not yet reported.
 fn report(scope: &mut Scope<'_>, request: &mut Request, finished: bool) {
     let ResolvedTarget::Gather(gather) = &request.route.target else {
         return;
@@ -311,60 +317,63 @@
         elapsed_us: u64::try_from(scope.now.since(request.arrived).as_micros()).unwrap_or(u64::MAX),
         ..SliceReport::default()
     };
-    let waiting = request.legs.iter().filter(|leg| leg.queued_at().is_some());
+    let waiting = request
+        .parts
+        .iter()
+        .filter(|part| part.queued_at().is_some());
     report.waiting = waiting.count() as u16;
     let mut bodies: Vec<&Bytes> = Vec::new();
-    for (place, leg) in request.legs.iter().enumerate() {
-        if leg.reported || !(leg.is_over() || finished) {
+    for (position, part) in request.parts.iter().enumerate() {
+        if part.reported || !(part.is_finished() || finished) {
             continue;
         }
-        let place = place as u16;
-        match &leg.state {
-            LegState::Answered(reply) => {
+        let position = position as u16;
+        match &part.state {
+            PartState::Answered(reply) => {
                 let signature = reply.signature.as_deref().unwrap_or_default();
-                report.answered.push((place, signature.to_vec().into()));
+                report.answered.push((position, signature.to_vec().into()));
                 bodies.push(&reply.body);
             }
-            _ => report.failed.push((place, leg.failure_elsewhere())),
+            _ => report.failed.push((position, part.shard_failure())),
         }
     }
     let records = greatest_records(bodies.into_iter(), gather.records);
     report.records = records.to_vec().into();
-    for leg in &mut request.legs {
-        leg.reported |= leg.is_over();
+    for part in &mut request.parts {
+        part.reported |= part.is_finished();
     }
-    let pending = request.legs.iter().any(|leg| !leg.is_over());
+    let pending = request.parts.iter().any(|part| !part.is_finished());
     let Origin::Coordinator(coordinator) = &mut request.origin else {
         return;
     };
-    coordinator.must_report = false;
-    coordinator.reported = Some(scope.now);
+    coordinator.report_due = false;
+    coordinator.last_report_at = Some(scope.now);
     let slice = coordinator.slice;
-    let requests = pending && !finished && coordinator.grant == GrantState::NotRequested;
-    let message = match requests {
+    let requests_grant = pending && !finished && coordinator.grant == GrantState::NotRequested;
+    let message = match requests_grant {
         true => SliceMessage::ReportAndRequest { slice, report },
         false => SliceMessage::Report { slice, report },
     };
-    if requests {
+    if requests_grant {
         coordinator.grant = GrantState::Requested;
     }
     send_message(scope, coordinator.address, message);
 }
 
-fn slice_of(request: &Request) -> SliceId {
+fn slice_id(request: &Request) -> SliceId {
     match &request.origin {
         Origin::Coordinator(coordinator) => coordinator.slice,
         Origin::Caller => SliceId(0),
     }
 }
 
-/// The route as the coordinator has it, for the shards of the slice only.
-fn route_of(scope: &mut Scope<'_>, task: SliceTask, legs: &[Leg]) -> ResolvedRoute {
+/// Route as known to the coordinator, restricted to the shards of the slice.
+fn slice_route(scope: &mut Scope<'_>, task: SliceTask, parts: &[Part]) -> ResolvedRoute {
     let known = scope.routes.find(&task.host, &task.prefix);
     let (key, name) = known.map_or_else(Default::default, |known| {
         (known.key, known.route.name.clone())
     });
-    let shards = legs.iter().map(|leg| leg.service).collect();
+    let shards = parts.iter().map(|part| part.service).collect();
     ResolvedRoute {
         key,
         version: RouteVersion(task.version),
--- a/crates/thornbridge-core/src/gateway/exchange/tests.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! Merged records against a simple oracle.
+//! Checks merged records against a sort.
 
 use super::merging::greatest_records;
 use bytes::Bytes;
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -1,13 +1,13 @@
-//! How gathers over many shards are divided among nodes.
+//! Division of gathers over many shards among nodes.
 //!
-//! A gather over many shards is too much work for one small node: its parts wait for the processor,
-//! and a node that serves few gathers has neither open connections nor fresh knowledge of the
-//! servers. Shards are therefore grouped, and each group has a few members that own it. The node
-//! that has the caller, the coordinator, asks one owner of each group; owners see every caller's
-//! traffic for their shards, so that connections stay in use and slow servers are known.
+//! Such a gather is too much work for one small node: its parts queue for the processor, and a node
+//! that serves few gathers has neither open connections nor current statistics of the servers.
+//! Shards are therefore grouped, and each group is owned by a few members. The coordinator, the
+//! node of the caller, delegates each group to one owner. Owners see the traffic of all callers for
+//! their shards, which keeps connections in use and statistics current.
 //!
-//! Guards against a gather that is divided where it is cheaper whole, and against owners that do
-//! not answer: those are avoided for a while.
+//! A gather that is cheaper undivided is not divided, and owners that do not answer are avoided for
+//! a while.
 
 mod assignment;
 mod plan;
@@ -28,189 +28,186 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceId;
 
-/// Failures beyond which an owner is avoided: one, for a half-life.
-const AVOIDED_FAILURES: f64 = 0.5;
-/// Longest time for which gathers are not divided after most owners were silent, in times that one
-/// owner is avoided. A guess: a node that is cut off tries with one gather in eight seconds.
-const LONGEST_WHOLE: u32 = 4;
-/// Parts that wait at an owner, decayed, from which another one is asked: one that was reported within the
-/// last 160 ms. With 2, a fifth more searches failed in an overload (566 for 464 on four seeds).
-const WAITING_TO_LEAVE: f64 = 0.8;
-/// Half-life of what an owner reported to wait there. A guess: some times as long as a part waits.
-const WAITING_HALF_LIFE: Duration = Duration::from_millis(500);
-/// Owners that failed lately and are remembered at most.
-const REMEMBERED_FAILURES: usize = 1_024;
+/// Decayed failures from which an owner is avoided; one failure lasts for one half-life.
+const AVOIDED_FAILURE_COUNT: f64 = 0.5;
+/// Longest suspension of division, in failure half-lives.
+const MAX_UNDIVIDED_FACTOR: u32 = 4;
+/// Decayed queue length from which an owner is busy and another one is preferred.
+const BUSY_OWNER_PARTS: f64 = 0.8;
+/// Half-life of a reported queue length.
+const OWNER_QUEUE_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Maximum number of owners with recorded failures.
+const MAX_TRACKED_FAILURES: usize = 1_024;
 
-/// Time after which a link to an owner may have been closed for want of use: half of the time that
-/// peers keep one.
-const LINK_REST: Duration = Duration::from_secs(30);
-/// Links that are opened ahead of use in one look at servers; each costs a small node some
-/// milliseconds. A guess.
-const LINKS_AT_ONCE: usize = 3;
+/// Idle time after which a link may be closed: half of what peers allow.
+const LINK_IDLE_LIMIT: Duration = Duration::from_secs(30);
+/// Links opened ahead of use per round; each costs processor time.
+const MAX_LINKS_PER_ROUND: usize = 3;
 
-/// Plans of gathers, and what is known of the owners.
+/// Division plans, and statistics of the owners.
 #[derive(Debug)]
 pub(super) struct Slices {
     parameters: SliceParameters,
     placement: Placement,
-    own: SocketAddr,
+    own_address: SocketAddr,
     members: Vec<Sharer>,
     plans: BTreeMap<RouteKey, Arc<Plan>>,
-    /// Failures of owners, decaying, at a time.
+    /// Decayed failures of owners, as of a time.
     failures: BTreeMap<SocketAddr, (f64, Timestamp)>,
-    /// Parts of a slice that waited at an owner when it last reported, decaying, at a time.
-    waiting: BTreeMap<SocketAddr, (f64, Timestamp)>,
-    /// Time that slices take beyond what their owners say.
+    /// Decayed queue length of owners in parts, as of a time.
+    owner_queues: BTreeMap<SocketAddr, (f64, Timestamp)>,
+    /// Latency of slices beyond the time that their owners report.
     overhead: AnswerDelay,
-    /// When something was last sent to an owner.
-    spoken_to: BTreeMap<SocketAddr, Timestamp>,
-    /// When a member was last heard.
-    heard: BTreeMap<SocketAddr, Timestamp>,
-    next_slice: u64,
-    /// Until then gathers are not divided, since most owners did not answer.
-    whole_until: Timestamp,
-    /// How long gathers were not divided last; zero once most owners answered.
-    whole_for: Duration,
+    /// When a message was last sent to each owner.
+    last_sent: BTreeMap<SocketAddr, Timestamp>,
+    /// When a message of each member was last received.
+    last_received: BTreeMap<SocketAddr, Timestamp>,
+    next_slice_id: u64,
+    /// End of the current suspension of division.
+    undivided_until: Timestamp,
+    /// Length of the last suspension; zero once most owners answer.
+    undivided_for: Duration,
 }
 
 impl Slices {
     pub(super) fn new(
         parameters: SliceParameters,
         placement: Placement,
-        own: SocketAddr,
+        own_address: SocketAddr,
         first_slice: u64,
     ) -> Self {
         Self {
             parameters,
             placement,
-            own,
+            own_address,
             members: Vec::new(),
             plans: BTreeMap::new(),
             failures: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            owner_queues: BTreeMap::new(),
             overhead: AnswerDelay::default(),
-            spoken_to: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            next_slice: first_slice,
-            whole_until: Timestamp::ZERO,
-            whole_for: Duration::ZERO,
+            last_sent: BTreeMap::new(),
+            last_received: BTreeMap::new(),
+            next_slice_id: first_slice,
+            undivided_until: Timestamp::ZERO,
+            undivided_for: Duration::ZERO,
         }
     }
 
-    /// Takes new tunable values.
+    /// Replaces the tunable parameters.
     pub(super) fn set_parameters(&mut self, parameters: SliceParameters) {
         self.parameters = parameters;
     }
 
-    /// Members that take work, this node included.
+    /// Replaces the members that accept work, including this node.
     pub(super) fn set_members(&mut self, members: Vec<Sharer>) {
         let known: BTreeSet<SocketAddr> = members.iter().map(|member| member.address).collect();
-        self.heard.retain(|address, _| known.contains(address));
-        self.waiting.retain(|address, _| known.contains(address));
+        self.last_received
+            .retain(|address, _| known.contains(address));
+        self.owner_queues
+            .retain(|address, _| known.contains(address));
         self.members = members;
     }
 
-    /// How a route's gathers are divided now, where they are.
+    /// Division plan of a route; `None` if its gathers are not divided now.
     pub(super) fn plan(&self, now: Timestamp, route: RouteKey) -> Option<Arc<Plan>> {
-        let whole = now < self.whole_until;
-        self.plans.get(&route).filter(|_| !whole).cloned()
+        let suspended = now < self.undivided_until;
+        self.plans.get(&route).filter(|_| !suspended).cloned()
     }
 
-    /// Most owners are silent: gathers are whole for a while, and for longer each time that most are
-    /// still silent after it.
-    /// Gives how long, where that begins.
-    pub(super) fn owners_missing(&mut self, now: Timestamp) -> Option<Duration> {
-        if now < self.whole_until {
+    /// Suspends division because most owners are silent, for longer each time in a row. Returns the
+    /// length of the suspension, or `None` if one is in force.
+    pub(super) fn suspend_division(&mut self, now: Timestamp) -> Option<Duration> {
+        if now < self.undivided_until {
             return None;
         }
-        let first = self.parameters.failure_half_life;
-        self.whole_for = (self.whole_for * 2).clamp(first, first * LONGEST_WHOLE);
-        self.whole_until = now + self.whole_for;
-        Some(self.whole_for)
+        let first_pause = self.parameters.failure_half_life;
+        self.undivided_for =
+            (self.undivided_for * 2).clamp(first_pause, first_pause * MAX_UNDIVIDED_FACTOR);
+        self.undivided_until = now + self.undivided_for;
+        Some(self.undivided_for)
     }
 
-    /// Most owners of a gather answered.
-    pub(super) fn owners_answer(&mut self) {
-        self.whole_for = Duration::ZERO;
+    /// Ends the backoff of suspensions after a gather that most owners answered.
+    pub(super) fn reset_division_backoff(&mut self) {
+        self.undivided_for = Duration::ZERO;
     }
 
-    /// A member sent something.
     pub(super) fn heard_from(&mut self, now: Timestamp, member: SocketAddr) {
-        self.heard.insert(member, now);
+        self.last_received.insert(member, now);
     }
 
-    /// Something was sent to an owner.
     pub(super) fn spoke_to(&mut self, now: Timestamp, owner: SocketAddr) {
-        self.spoken_to.insert(owner, now);
+        self.last_sent.insert(owner, now);
     }
 
-    /// The link to an owner broke.
+    /// Forgets the link to an owner.
     pub(super) fn link_lost(&mut self, owner: SocketAddr) {
-        self.spoken_to.remove(&owner);
+        self.last_sent.remove(&owner);
     }
 
-    /// Owners that this node would ask first and to which it may have no link: a gather that has to
-    /// open a dozen comes too late.
+    /// Preferred owners without a link. Links are opened ahead of use, because opening many delays
+    /// a gather.
     pub(super) fn links_to_open(&mut self, now: Timestamp) -> Vec<SocketAddr> {
-        self.spoken_to.retain(|_, at| now.since(*at) < LINK_REST);
+        self.last_sent
+            .retain(|_, at| now.since(*at) < LINK_IDLE_LIMIT);
         let groups = self.plans.values().flat_map(|plan| &plan.groups);
         let first = groups.filter_map(|group| self.choose_owner(now, group, &[]));
-        let without: BTreeSet<SocketAddr> = first
-            .filter(|owner| *owner != self.own && !self.spoken_to.contains_key(owner))
+        let unlinked: BTreeSet<SocketAddr> = first
+            .filter(|owner| *owner != self.own_address && !self.last_sent.contains_key(owner))
             .collect();
-        without.into_iter().take(LINKS_AT_ONCE).collect()
+        unlinked.into_iter().take(MAX_LINKS_PER_ROUND).collect()
     }
 
-    /// Time that a node like this one needs for so many parts.
-    pub(super) fn time_for(&self, parts: usize) -> Duration {
+    /// Processing time of this many parts on a node like this one.
+    pub(super) fn processing_time(&self, parts: usize) -> Duration {
         self.parameters.part_cost.mul_f64(parts as f64)
     }
 
-    /// A new identity.
-    pub(super) fn next_id(&mut self) -> SliceId {
-        self.next_slice = self.next_slice.wrapping_add(1);
-        SliceId(self.next_slice)
+    pub(super) fn allocate_id(&mut self) -> SliceId {
+        self.next_slice_id = self.next_slice_id.wrapping_add(1);
+        SliceId(self.next_slice_id)
     }
 
-    /// The owner of a group to ask, but for those that were asked already: of those that did not fail
-    /// lately the first in order, or in another's place the one that was heard last; else the one that
-    /// failed least.
+    /// Next owner to delegate a group to: the preferred owner without recent failures, or on a
+    /// further try the one that sent a message last; otherwise the owner with the fewest failures.
     pub(super) fn choose_owner(
         &self,
         now: Timestamp,
         group: &Group,
-        asked: &[SocketAddr],
+        already_tried: &[SocketAddr],
     ) -> Option<SocketAddr> {
         let others = group.owners.iter().copied();
-        let others: Vec<SocketAddr> = others.filter(|owner| !asked.contains(owner)).collect();
+        let others: Vec<SocketAddr> = others
+            .filter(|owner| !already_tried.contains(owner))
+            .collect();
         let trusted = others
             .iter()
-            .filter(|owner| self.failures_of(now, **owner) < AVOIDED_FAILURES);
-        let trusted = match asked.is_empty() {
-            true => self.least_waiting(now, trusted),
-            // Where one owner is silent others may be, too.
-            false => trusted.max_by_key(|owner| self.heard.get(*owner)),
+            .filter(|owner| self.decayed_failures(now, **owner) < AVOIDED_FAILURE_COUNT);
+        let trusted = match already_tried.is_empty() {
+            true => self.least_loaded_owner(now, trusted),
+            // Silence of one owner makes silence of others likely.
+            false => trusted.max_by_key(|owner| self.last_received.get(*owner)),
         };
-        let least = || {
+        let least_failed = || {
             let by_failures = |left: &&SocketAddr, right: &&SocketAddr| {
-                self.failures_of(now, **left)
-                    .total_cmp(&self.failures_of(now, **right))
+                self.decayed_failures(now, **left)
+                    .total_cmp(&self.decayed_failures(now, **right))
             };
             others.iter().min_by(by_failures)
         };
-        trusted.or_else(least).copied()
+        trusted.or_else(least_failed).copied()
     }
 
-    /// The first of these owners, unless too much waits there: then the one at which least does. Zones
-    /// have as many owners, and not as many callers.
-    fn least_waiting<'a>(
+    /// The first owner, or if it is busy the one with the shortest queue. Zones have equally many
+    /// owners but not equally many callers.
+    fn least_loaded_owner<'a>(
         &self,
         now: Timestamp,
         owners: impl Iterator<Item = &'a SocketAddr>,
     ) -> Option<&'a SocketAddr> {
-        let mut owners = owners.map(|owner| (self.waiting_at(now, owner), owner));
+        let mut owners = owners.map(|owner| (self.queued_parts(now, owner), owner));
         let (waiting, first) = owners.next()?;
-        if waiting < WAITING_TO_LEAVE {
+        if waiting < BUSY_OWNER_PARTS {
             return Some(first);
         }
         let least = owners.min_by(|(left, _), (right, _)| left.total_cmp(right));
@@ -218,38 +215,38 @@
         Some(least.map_or(first, |(_, owner)| owner))
     }
 
-    /// An owner reported that so many parts wait for a connection there.
-    pub(super) fn owner_waits(&mut self, now: Timestamp, owner: SocketAddr, parts: f64) {
+    /// Records the number of parts that an owner reported as queued.
+    pub(super) fn observe_owner_queue(&mut self, now: Timestamp, owner: SocketAddr, parts: f64) {
         match parts > 0.0 {
-            true => self.waiting.insert(owner, (parts, now)),
-            false => self.waiting.remove(&owner),
+            true => self.owner_queues.insert(owner, (parts, now)),
+            false => self.owner_queues.remove(&owner),
         };
     }
 
-    fn waiting_at(&self, now: Timestamp, owner: &SocketAddr) -> f64 {
-        let Some((parts, at)) = self.waiting.get(owner) else {
+    fn queued_parts(&self, now: Timestamp, owner: &SocketAddr) -> f64 {
+        let Some((parts, at)) = self.owner_queues.get(owner) else {
             return 0.0;
         };
-        let half_lives = now.since(*at).as_secs_f64() / WAITING_HALF_LIFE.as_secs_f64();
+        let half_lives = now.since(*at).as_secs_f64() / OWNER_QUEUE_HALF_LIFE.as_secs_f64();
         parts * 0.5_f64.powf(half_lives)
     }
 
-    /// An owner did not answer.
+    /// Records a failure of an owner.
     pub(super) fn owner_failed(&mut self, now: Timestamp, owner: SocketAddr) {
-        let failures = self.failures_of(now, owner) + 1.0;
-        if self.failures.len() >= REMEMBERED_FAILURES && !self.failures.contains_key(&owner) {
+        let failures = self.decayed_failures(now, owner) + 1.0;
+        if self.failures.len() >= MAX_TRACKED_FAILURES && !self.failures.contains_key(&owner) {
             self.failures.pop_first();
         }
         self.failures.insert(owner, (failures, now));
     }
 
-    /// An owner answered.
+    /// Records an answer of an owner.
     pub(super) fn owner_answered(&mut self, owner: SocketAddr, overhead: Duration) {
         self.failures.remove(&owner);
         self.overhead.observe(overhead);
     }
 
-    /// Time to keep for the way to an owner and back, and for both nodes' queues.
+    /// Time to reserve for the round trip to an owner and queueing on both nodes.
     pub(super) fn overhead(&self, objective: Duration) -> Duration {
         let most = objective.mul_f64(self.parameters.overhead_share_maximum);
         match self.overhead.is_observed() {
@@ -258,7 +255,7 @@
         }
     }
 
-    fn failures_of(&self, now: Timestamp, owner: SocketAddr) -> f64 {
+    fn decayed_failures(&self, now: Timestamp, owner: SocketAddr) -> f64 {
         let Some((failures, at)) = self.failures.get(&owner) else {
             return 0.0;
         };
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -1,4 +1,4 @@
-//! The division of one gather: its groups of shards, and who owns them.
+//! Division plan of a gather: its groups of shards and their owners.
 
 use super::Slices;
 use super::assignment::{owners_of_groups, rank};
@@ -13,35 +13,35 @@
 use std::time::Duration;
 use thornbridge_proto::ZoneName;
 
-/// Groups below which a gather is not divided.
-const LEAST_GROUPS: usize = 3;
+/// Minimum number of groups for a division.
+const MIN_GROUPS: usize = 3;
 
-/// Shards that are answered by one node, and the members that own them.
+/// Shards served by one node, and the members that own them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Group {
-    /// Places in the gather's list of shards.
+    /// Indices into the gather's shards.
     pub(in crate::gateway) shards: Range<usize>,
-    /// Owners beside this node, in the order in which it asks them.
+    /// Owners other than this node, in order of preference.
     pub(in crate::gateway) owners: Vec<SocketAddr>,
 }
 
-/// The division of a gather.
+/// Division plan of a gather.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Plan {
     pub(in crate::gateway) groups: Vec<Group>,
 }
 
-/// Who keeps connections to the servers of a service that belongs to a group.
+/// Members that keep connections to the servers of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Ownership {
-    /// Whether this node is one of them.
+    /// Whether this node is an owner.
     pub(in crate::gateway) own: bool,
-    /// How many there are.
+    /// Number of owners.
     pub(in crate::gateway) owners: u32,
 }
 
 impl Plan {
-    /// Whether it divides a gather of this many shards.
+    /// Whether the plan fits a gather of this many shards.
     pub(in crate::gateway) fn covers(&self, shards: usize) -> bool {
         self.groups
             .last()
@@ -50,29 +50,29 @@
 }
 
 impl Slices {
-    /// Divides the gathers of the routes in force anew; gives who owns which service.
+    /// Rebuilds the plans of the routes in force; returns the ownership of services.
     pub(in crate::gateway) fn divide(
         &mut self,
         routes: &RouteTable,
         servers: &Servers,
     ) -> BTreeMap<ServiceKey, Ownership> {
         let mut owned = BTreeMap::new();
-        self.plans = self.plans_of(routes, servers, &mut owned);
+        self.plans = self.build_plans(routes, servers, &mut owned);
         owned
     }
 
-    /// The same for routes that are not in force yet, whose gathers are not divided yet.
+    /// Ownership of services under routes that are not in force yet.
     pub(in crate::gateway) fn divide_ahead(
         &self,
         routes: &RouteTable,
         servers: &Servers,
     ) -> BTreeMap<ServiceKey, Ownership> {
         let mut owned = BTreeMap::new();
-        self.plans_of(routes, servers, &mut owned);
+        self.build_plans(routes, servers, &mut owned);
         owned
     }
 
-    fn plans_of(
+    fn build_plans(
         &self,
         routes: &RouteTable,
         servers: &Servers,
@@ -87,8 +87,8 @@
             let Some(groups) = self.groups(gather, objective, servers) else {
                 continue;
             };
-            self.note_owners(gather, &groups, owned);
-            let groups = groups.into_iter().map(|group| self.without_own(group));
+            self.record_owners(gather, &groups, owned);
+            let groups = groups.into_iter().map(|group| self.exclude_self(group));
             let groups: Vec<Group> = groups.collect();
             if groups.iter().all(|group| !group.owners.is_empty()) {
                 plans.insert(route.key, Arc::new(Plan { groups }));
@@ -97,7 +97,7 @@
         plans
     }
 
-    /// The groups of a gather, with all their owners; `None` where it is not to be divided.
+    /// Groups of a gather with all their owners; `None` if it is not to be divided.
     fn groups(
         &self,
         gather: &ResolvedGather,
@@ -107,7 +107,7 @@
         let candidates = self.candidates(gather, servers);
         let parts = gather.shards.len();
         let count = ((parts as f64).sqrt().round() as usize).min(candidates.len());
-        if count < LEAST_GROUPS || !self.is_cheaper_divided(parts, count, objective) {
+        if count < MIN_GROUPS || !self.is_cheaper_divided(parts, count, objective) {
             return None;
         }
         let size = parts.div_ceil(count);
@@ -117,7 +117,7 @@
             .collect();
         let hashes: Vec<u64> = ranges
             .iter()
-            .map(|range| hash_of(servers, &gather.shards[range.clone()]))
+            .map(|range| group_hash(servers, &gather.shards[range.clone()]))
             .collect();
         let addresses: Vec<SocketAddr> = candidates.iter().map(|member| member.address).collect();
         let owners = owners_of_groups(&addresses, &hashes);
@@ -126,22 +126,22 @@
             .zip(owners)
             .map(|(shards, owners)| Group {
                 shards,
-                owners: self.in_order(owners.iter().map(|position| candidates[*position])),
+                owners: self.sort_owners(owners.iter().map(|position| candidates[*position])),
             });
         Some(groups.collect())
     }
 
-    /// Whether dividing saves time, and enough of it to be worth its messages.
+    /// Whether dividing saves time and the undivided gather is expensive enough.
     fn is_cheaper_divided(&self, parts: usize, groups: usize, objective: Duration) -> bool {
         let cost = self.parameters.part_cost;
-        let whole = cost.mul_f64(parts as f64);
+        let undivided = cost.mul_f64(parts as f64);
         let messages = 2 * groups + parts.div_ceil(groups);
         let divided = cost.mul_f64(messages as f64) + self.parameters.hop;
-        divided < whole && whole > objective.mul_f64(self.parameters.whole_share_maximum)
+        divided < undivided && undivided > objective.mul_f64(self.parameters.whole_share_maximum)
     }
 
-    /// Members near servers of the gather, in this node's region: answers of whole slices cross
-    /// zones instead of those of all parts.
+    /// Members in this node's region, near servers of the gather if any: merged slices cross zones
+    /// instead of all parts.
     fn candidates(&self, gather: &ResolvedGather, servers: &Servers) -> Vec<&Sharer> {
         let zones: BTreeSet<&ZoneName> = gather
             .shards
@@ -158,21 +158,21 @@
         if found.is_empty() { regional } else { found }
     }
 
-    /// Owners as this node asks them: those of its zone first, the rest in an order of its own, so
-    /// that all are asked equally often.
-    fn in_order<'a>(&self, owners: impl Iterator<Item = &'a Sharer>) -> Vec<SocketAddr> {
-        let own = server_hash(&self.own.to_string());
+    /// Owners in order of preference: those in this zone first, the rest in a node-specific order
+    /// that spreads load.
+    fn sort_owners<'a>(&self, owners: impl Iterator<Item = &'a Sharer>) -> Vec<SocketAddr> {
+        let own_hash = server_hash(&self.own_address.to_string());
         let mut owners: Vec<(bool, u64, SocketAddr)> = owners
             .map(|owner| {
                 let elsewhere = owner.zone != self.placement.zone;
-                (elsewhere, rank(owner.address, own), owner.address)
+                (elsewhere, rank(owner.address, own_hash), owner.address)
             })
             .collect();
         owners.sort_unstable();
         owners.into_iter().map(|(_, _, address)| address).collect()
     }
 
-    fn note_owners(
+    fn record_owners(
         &self,
         gather: &ResolvedGather,
         groups: &[Group],
@@ -180,7 +180,7 @@
     ) {
         for group in groups {
             let ownership = Ownership {
-                own: group.owners.contains(&self.own),
+                own: group.owners.contains(&self.own_address),
                 owners: group.owners.len() as u32,
             };
             for shard in &gather.shards[group.shards.clone()] {
@@ -189,16 +189,16 @@
         }
     }
 
-    /// This node has enough to do with the callers' side of a gather that it divides.
-    fn without_own(&self, mut group: Group) -> Group {
+    /// Removes this node from the owners, because coordination is enough work.
+    fn exclude_self(&self, mut group: Group) -> Group {
         if group.owners.len() > 1 {
-            group.owners.retain(|owner| *owner != self.own);
+            group.owners.retain(|owner| *owner != self.own_address);
         }
         group
     }
 }
 
-fn hash_of(servers: &Servers, shards: &[ServiceKey]) -> u64 {
+fn group_hash(servers: &Servers, shards: &[ServiceKey]) -> u64 {
     let first = shards
         .first()
         .and_then(|shard| servers.service_name(*shard));
