--- a/crates/thornbridge-core/src/gateway/enforcing.rs
+++ b/crates/thornbridge-core/src/gateway/enforcing.rs
@@ -1,4 +1,4 @@
-//! From a configuration that is learnt to one that is in force.
+//! Validation, staging and activation of route configurations.
 
 use super::Gateway;
 use super::action::GatewayAction;
@@ -9,7 +9,7 @@
 use thornbridge_config::routes::RouteConfiguration;
 
 impl Gateway {
-    /// Takes a configuration where it is newer and nothing is wrong with it.
+    /// Stages a configuration if it is valid and newer; returns whether it was staged.
     pub(super) fn take_configuration(
         &mut self,
         configuration: RouteConfiguration,
@@ -21,12 +21,12 @@
         }
         let problems = configuration.problems();
         if !problems.is_empty() {
-            let reasons: Vec<String> = problems.iter().map(ToString::to_string).collect();
-            self.object_refused(format!("configuration {version}"), reasons.join("; "));
+            let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
+            self.object_refused(format!("configuration {version}"), messages.join("; "));
             return false;
         }
-        let warm = services_of(&configuration, &mut self.servers);
-        self.servers.configure(&configuration.services, warm);
+        let services = services_of(&configuration, &mut self.servers);
+        self.servers.configure(&configuration.services, services);
         self.staging
             .stage(self.now, Arc::new(configuration), origin);
         self.division_stale = true;
@@ -35,21 +35,24 @@
         true
     }
 
+    /// Whether the staged configuration can be activated: its services have connections, the
+    /// staging time is over, or no configuration is active.
     pub(super) fn staged_may_start(&mut self) -> bool {
         let Some(staged) = self.staging.get() else {
             return false;
         };
-        let waited = self.now.since(staged.since) >= self.parameters.views.staging;
-        if waited || self.configuration.is_none() {
+        let timed_out = self.now.since(staged.since) >= self.parameters.views.staging;
+        if timed_out || self.configuration.is_none() {
             return true;
         }
         let configuration = Arc::clone(&staged.configuration);
-        let named = services_of(&configuration, &mut self.servers);
-        named
+        let services = services_of(&configuration, &mut self.servers);
+        services
             .into_iter()
             .all(|service| self.servers.is_warm(service) || !self.servers.has_server(service))
     }
 
+    /// Activates the staged configuration.
     pub(super) fn put_in_force(&mut self) {
         let Some(staged) = self.staging.take() else {
             return;
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -198,9 +198,9 @@
             ..
         } = request;
         let waited = self.now.since(arrived);
-        let left = head.patience.unwrap_or_default().saturating_sub(waited);
+        let remaining = head.patience.unwrap_or_default().saturating_sub(waited);
         let share = self.parameters.exchange.retry_after_share;
-        let retry_after = left
+        let retry_after = remaining
             .mul_f64(share)
             .max(self.parameters.exchange.retry_after);
         let refusal = Refusal {
--- a/crates/thornbridge-core/src/gateway/notes.rs
+++ b/crates/thornbridge-core/src/gateway/notes.rs
@@ -141,7 +141,7 @@
     pub registry: StoreRevision,
     /// Time from arrival until the answer.
     pub took: Duration,
-    /// Latency objective, measured from arrival.
+    /// Time from arrival by which the answer was due.
     pub objective: Duration,
     /// Parts that were answered.
     pub parts: usize,
--- a/crates/thornbridge-core/src/gateway/patience.rs
+++ b/crates/thornbridge-core/src/gateway/patience.rs
@@ -1,34 +1,34 @@
-//! Which try of its caller a request is, judged by the time that its caller still waits.
+//! Infers whether a request is a caller's first attempt or a retry.
 //!
-//! Callers state the patience that is left. The first tries of a route all state the same, and the
-//! most; a later one states less by what the earlier ones took. That matters to a request that
-//! cannot be served yet: a first try is told at once when to come back, while a later one, which
-//! has no other, is kept for as long as it may still be served.
+//! Callers state how long they still wait. First attempts on a route all state the same, longest
+//! timeout; a retry states less, by the time that earlier attempts took. The distinction matters
+//! while a request cannot be served: a first attempt is refused at once with a time to retry,
+//! whereas a retry, which the caller does not repeat, is held until its timeout.
 
 use super::event::RequestHead;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Difference below which two callers state the same patience.
+/// Difference up to which two stated timeouts count as equal.
 const TOLERANCE: Duration = Duration::from_millis(1);
-/// Requests with the most patience after which it is believed to be that of first tries.
-const CONFIRMING: u32 = 2;
-/// Kinds of requests that are told apart while no configuration is known.
+/// Number of requests with the longest timeout after which they count as first attempts.
+const CONFIRMATIONS: u32 = 2;
+/// Maximum number of request kinds tracked before the first configuration.
 const KINDS_MAXIMUM: usize = 1_024;
 
-/// Which try of its caller a request is.
+/// Whether a request is its caller's first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerTry {
-    /// The first.
+    /// First attempt.
     First,
-    /// A later one.
+    /// Retry.
     Later,
-    /// It cannot be told yet.
+    /// Not enough requests observed yet.
     Unknown,
 }
 
 impl CallerTry {
-    /// Name for logs.
+    /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
@@ -38,35 +38,35 @@
     }
 }
 
-/// The patience that the callers of one kind of request state.
+/// Timeouts stated by the callers of one kind of request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StatedPatience {
     longest: Duration,
-    /// Requests that stated the longest.
-    stated: u32,
+    /// Number of requests that stated the longest timeout.
+    longest_count: u32,
 }
 
 impl StatedPatience {
-    /// A caller said that it waits this long.
+    /// Records the timeout stated by a request.
     pub(super) fn observe(&mut self, patience: Duration) {
         if patience > self.longest + TOLERANCE {
             self.longest = patience;
-            self.stated = 0;
+            self.longest_count = 0;
         }
         if self.is_longest(patience) {
-            self.stated = self.stated.saturating_add(1);
+            self.longest_count = self.longest_count.saturating_add(1);
         }
     }
 
-    /// What earlier tries of this caller took.
+    /// Time taken by earlier attempts of a caller with this remaining timeout.
     pub(super) fn spent(&self, patience: Duration) -> Duration {
         self.longest.saturating_sub(patience)
     }
 
-    /// Which try a request with this patience is.
+    /// Classifies a request by its stated timeout.
     pub(super) fn judge(&self, patience: Duration) -> CallerTry {
         match self.is_longest(patience) {
-            true if self.stated >= CONFIRMING => CallerTry::First,
+            true if self.longest_count >= CONFIRMATIONS => CallerTry::First,
             true => CallerTry::Unknown,
             false => CallerTry::Later,
         }
@@ -77,15 +77,15 @@
     }
 }
 
-/// Stated patience by kind of request, while no configuration tells routes apart: by host and the
-/// first segment of the path, in which the prefixes of routes differ at the latest.
+/// Stated timeouts per kind of request, used while no configuration is active. A kind is a host and
+/// the first path segment, which approximates a route.
 #[derive(Debug, Default)]
 pub(super) struct PatienceByKind {
     kinds: BTreeMap<(String, String), StatedPatience>,
 }
 
 impl PatienceByKind {
-    /// A request came.
+    /// Records the timeout stated by a request.
     pub(super) fn observe(&mut self, head: &RequestHead, patience: Duration) {
         let kind = kind_of(head);
         if self.kinds.len() >= KINDS_MAXIMUM && !self.kinds.contains_key(&kind) {
@@ -94,7 +94,7 @@
         self.kinds.entry(kind).or_default().observe(patience);
     }
 
-    /// Which try a request with this patience is.
+    /// Classifies a request by its stated timeout.
     pub(super) fn judge(&self, head: &RequestHead, patience: Duration) -> CallerTry {
         let known = self.kinds.get(&kind_of(head));
         known.map_or(CallerTry::Unknown, |stated| stated.judge(patience))
@@ -102,6 +102,6 @@
 }
 
 fn kind_of(head: &RequestHead) -> (String, String) {
-    let first = head.path.split('/').nth(1).unwrap_or_default();
-    (head.host.clone(), first.to_owned())
+    let first_segment = head.path.split('/').nth(1).unwrap_or_default();
+    (head.host.clone(), first_segment.to_owned())
 }
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -1,74 +1,78 @@
-//! Requests that crash the servers that run them, told by what stays the same from try to try.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! An attempt that ends with a broken connection is a crash that its request may have caused, as long
-//! as no server answered the request. From the first on it is sent to one server at a time. After
-//! three, by all nodes together, single servers may still get it for a moment, since one answer clears
-//! it for good; then no server gets it any more, and its callers are refused at once.
+//! Requests are identified by a fingerprint that is the same for all retries by a caller. A
+//! connection that breaks under a request counts as a crash caused by the request, unless a server
+//! has answered the request.
 //!
-//! Guards against: one request that comes again at any node and takes all servers of an index down,
-//! each time anew. One search that came each 0.7 s for 10 s crashed 308 times servers of 40 on eight nodes,
-//! and 0.61 of the others were served; with this 21 times, and all were (simulator, seed 1).
+//! | stage | entered | sending of the request |
+//! | --- | --- | --- |
+//! | suspected | first crash | to one server at a time |
+//! | probing | `crashes` servers crashed, over all nodes | to `canaries` servers for the time `testing` |
+//! | quarantined | probing ended, or a peer reported enough crashes | to no server; callers are refused |
+//! | cleared | a server answered | unrestricted |
 //!
-//! Others that ran beside it look the same at first. Nearly all are told apart by an answer: a search is
-//! not suspected once any shard answered, and a plain request only after three servers in a row.
+//! A quarantine expires to the suspected stage. Without the quarantine, a request that is retried at
+//! other nodes could crash all servers of a service.
+//!
+//! Unrelated requests that ran on a crashed server are suspected as well. Most are cleared by an
+//! answer; those whose crashes are all explained by another quarantined request are not refused.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `answered` | requests that servers answered lately |
-//! | `record` | what is known of one request |
-//! | `spreading` | who is told, and when |
+//! | `recently_answered` | requests that were answered recently |
+//! | `record` | crash record of one request |
+//! | `dissemination` | dissemination of records among members |
 
-mod answered;
+mod dissemination;
+mod recently_answered;
 mod record;
-mod spreading;
 
 use super::action::GatewayAction;
 use super::notes::{GatewayChange, ViewOrigin};
 use super::parameters::QuarantineParameters;
 use crate::time::Timestamp;
-use answered::AnsweredLately;
+use dissemination::Dissemination;
+use recently_answered::RecentlyAnswered;
 use record::{Audience, Record, Stage};
-use spreading::Spreading;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 use thornbridge_proto::BackEndId;
 use thornbridge_proto::fingerprint::Fingerprint;
 use thornbridge_proto::peer::quarantine::CrashRecord;
 
-/// Instances that are remembered of one request: those of its crashes, its tests, and some that ended
-/// before it was known.
+/// Maximum number of instances in a record: those required for quarantine, canaries, and some slack.
 const INSTANCES_KEPT: usize = 8;
 
-/// How a request may be sent.
+/// To how many servers a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Caution {
-    /// As any other.
+    /// No restriction.
     None,
-    /// To one server at a time.
+    /// One server at a time.
     OneAtATime,
-    /// To none: what is under way may still clear it.
+    /// No new attempts; an attempt in flight may still clear the request.
     NoMore,
-    /// To none: it is refused.
+    /// The request is refused.
     Refuse,
 }
 
 impl Caution {
-    /// Whether another try of it may begin.
+    /// Whether a new attempt may be made.
     pub(super) fn allows_new_tries(self) -> bool {
         matches!(self, Self::None | Self::OneAtATime)
     }
 }
 
-/// All requests under which servers crashed.
+/// Crash records of all suspected, quarantined and cleared requests.
 #[derive(Debug)]
 pub(super) struct Quarantine {
     parameters: QuarantineParameters,
     records: BTreeMap<Fingerprint, Record>,
-    answered: AnsweredLately,
-    /// When others are to be told of which.
-    to_tell: BTreeSet<(Timestamp, Fingerprint)>,
-    spreading: Spreading,
-    next_sweep: Timestamp,
+    answered: RecentlyAnswered,
+    /// Scheduled announcements, by time.
+    announcements: BTreeSet<(Timestamp, Fingerprint)>,
+    dissemination: Dissemination,
+    next_expiry: Timestamp,
 }
 
 impl Quarantine {
@@ -76,28 +80,28 @@
         Self {
             parameters,
             records: BTreeMap::new(),
-            answered: AnsweredLately::default(),
-            to_tell: BTreeSet::new(),
-            spreading: Spreading::default(),
-            next_sweep: Timestamp::ZERO,
+            answered: RecentlyAnswered::default(),
+            announcements: BTreeSet::new(),
+            dissemination: Dissemination::default(),
+            next_expiry: Timestamp::ZERO,
         }
     }
 
-    /// Takes new tunable values.
+    /// Replaces the parameters; disabling the quarantine drops all records.
     pub(super) fn set_parameters(&mut self, parameters: QuarantineParameters) {
         self.parameters = parameters;
         if !self.parameters.enabled {
             self.records.clear();
-            self.to_tell.clear();
+            self.announcements.clear();
         }
     }
 
-    /// Requests that are remembered.
+    /// Number of records.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// How a request may be sent now.
+    /// To how many servers a request may be sent now.
     pub(super) fn caution(&self, now: Timestamp, fingerprint: Fingerprint) -> Caution {
         let Some(record) = self.records.get(&fingerprint) else {
             return Caution::None;
@@ -105,53 +109,55 @@
         match record.stage {
             Stage::Cleared => Caution::None,
             Stage::Suspected => Caution::OneAtATime,
-            Stage::Tested { .. } | Stage::Quarantined if self.is_explained(fingerprint, record) => {
+            Stage::Probing { .. } | Stage::Quarantined
+                if self.is_explained(fingerprint, record) =>
+            {
                 Caution::OneAtATime
             }
             Stage::Quarantined => Caution::Refuse,
-            Stage::Tested { since, .. } if now.since(since) >= self.parameters.testing => {
+            Stage::Probing { since, .. } if now.since(since) >= self.parameters.testing => {
                 Caution::Refuse
             }
-            Stage::Tested { canaries, .. } if canaries >= self.parameters.canaries => {
+            Stage::Probing { canaries, .. } if canaries >= self.parameters.canaries => {
                 Caution::NoMore
             }
-            Stage::Tested { .. } => Caution::OneAtATime,
+            Stage::Probing { .. } => Caution::OneAtATime,
         }
     }
 
-    /// Whether another request in quarantine had all servers that crashed under this one, and more: then
-    /// this one merely ran beside it, and gets one server at a time until one crashes that the other
-    /// had not.
+    /// Whether all crashes of a request are explained by another quarantined request: its record
+    /// contains every instance of this one and more. The request then probably just ran on the same
+    /// servers, and is sent to one server at a time.
     fn is_explained(&self, fingerprint: Fingerprint, record: &Record) -> bool {
         let mut others = self
             .records
             .iter()
             .filter(|(other, _)| **other != fingerprint);
         others.any(|(_, other)| {
-            let more = other.instances.len() > record.instances.len();
-            let mut own = record.instances.iter();
+            let has_more = other.instances.len() > record.instances.len();
+            let mut instances = record.instances.iter();
             let quarantined = other.stage.has_enough_crashes();
-            quarantined && more && own.all(|instance| other.instances.contains(instance))
+            quarantined && has_more && instances.all(|instance| other.instances.contains(instance))
         })
     }
 
-    /// How long a request that is refused will be.
+    /// Remaining time for which a quarantined request is refused.
     pub(super) fn lasts(&self, now: Timestamp, fingerprint: Fingerprint) -> Duration {
         let record = self.records.get(&fingerprint);
-        let until = record.map_or(now, |record| record.changed + self.parameters.kept);
-        until.since(now)
+        let ends_at = record.map_or(now, |record| record.changed_at + self.parameters.kept);
+        ends_at.since(now)
     }
 
-    /// A request is sent to a server.
+    /// Counts an attempt of a request.
     pub(super) fn sent(&mut self, fingerprint: Fingerprint) {
         if let Some(record) = self.records.get_mut(&fingerprint)
-            && let Stage::Tested { canaries, .. } = &mut record.stage
+            && let Stage::Probing { canaries, .. } = &mut record.stage
         {
             *canaries += 1;
         }
     }
 
-    /// A server's connection broke while it had a request that no server has answered.
+    /// Records that a connection broke under a request that no server has answered.
     pub(super) fn crashed(
         &mut self,
         now: Timestamp,
@@ -159,33 +165,32 @@
         instance: &BackEndId,
     ) {
         let needed = self.parameters.crashes;
-        let Some(record) = self.suspected(now, now, fingerprint) else {
+        let Some(record) = self.record_for_crash(now, now, fingerprint) else {
             return;
         };
         if !record.add(instance, INSTANCES_KEPT) {
             return;
         }
-        record.changed = now;
+        record.changed_at = now;
         if record.stage == Stage::Suspected && record.instances.len() >= needed {
-            record.stage = Stage::Tested {
+            record.stage = Stage::Probing {
                 since: now,
                 canaries: 0,
             };
         }
-        self.schedule_telling(now + self.parameters.telling, fingerprint);
+        self.schedule_announcement(now + self.parameters.telling, fingerprint);
     }
 
-    /// A request is given up. Its caller may come back at another node within milliseconds, so that
-    /// others are told at once: a search then crashes the servers of its shards once, not twice (21
-    /// instead of 39 in the simulator, seed 1).
+    /// Announces the record of an abandoned request at once, before the caller retries at another
+    /// node.
     pub(super) fn given_up(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let record = self.records.get(&fingerprint);
-        if record.is_some_and(|record| record.told < Audience::All) {
-            self.schedule_telling(now, fingerprint);
+        if record.is_some_and(|record| record.announced_to < Audience::All) {
+            self.schedule_announcement(now, fingerprint);
         }
     }
 
-    /// A server answered a request.
+    /// Records that a server answered a request, which clears it.
     pub(super) fn answered(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let lifetime = self.parameters.answered_lifetime;
         self.answered.add(now, fingerprint, lifetime);
@@ -196,78 +201,79 @@
             return;
         }
         record.stage = Stage::Cleared;
-        record.changed = now;
-        if record.told > Audience::Nobody {
-            self.schedule_telling(now, fingerprint);
+        record.changed_at = now;
+        if record.announced_to > Audience::None {
+            self.schedule_announcement(now, fingerprint);
         }
     }
 
-    /// A peer told what it knows.
+    /// Merges a record received from a peer.
     pub(super) fn learnt(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
-        theirs: &CrashRecord,
+        received: &CrashRecord,
     ) {
-        let age = Duration::from_millis(u64::from(theirs.age_ms));
+        let age = Duration::from_millis(u64::from(received.age_ms));
         if age >= self.parameters.kept {
             return;
         }
-        if theirs.cleared {
-            self.learnt_cleared(now, actions, theirs.fingerprint, now - age);
+        if received.cleared {
+            self.merge_cleared(now, actions, received.fingerprint, now - age);
             return;
         }
-        let fingerprint = theirs.fingerprint;
+        let fingerprint = received.fingerprint;
         let needed = self.parameters.crashes;
-        let Some(record) = self.suspected(now, now - age, fingerprint) else {
+        let Some(record) = self.record_for_crash(now, now - age, fingerprint) else {
             return;
         };
-        let before = record.stage.has_enough_crashes();
-        for instance in &theirs.instances {
+        let already_quarantined = record.stage.has_enough_crashes();
+        for instance in &received.instances {
             if record.add(instance, INSTANCES_KEPT) {
-                record.changed = record.changed.max(now - age);
+                record.changed_at = record.changed_at.max(now - age);
             }
         }
-        // A test that is under way here goes on: it is bounded, and may clear the request.
+        // A probing stage on this node continues: its duration is bounded and an answer may clear
+        // the request.
         if record.stage == Stage::Suspected && record.instances.len() >= needed {
             record.stage = Stage::Quarantined;
         }
-        if before || !record.stage.has_enough_crashes() {
+        if already_quarantined || !record.stage.has_enough_crashes() {
             return;
         }
-        if theirs.instances.len() < needed {
-            self.schedule_telling(now + self.parameters.telling, fingerprint);
+        if received.instances.len() < needed {
+            self.schedule_announcement(now + self.parameters.telling, fingerprint);
         } else {
-            // Whoever decided it told everybody.
-            record.told = Audience::All;
-            actions.push_back(change(fingerprint, record, ViewOrigin::Peer));
+            // The node that reached the decision announces it to all members.
+            record.announced_to = Audience::All;
+            actions.push_back(state_change(fingerprint, record, ViewOrigin::Peer));
         }
     }
 
-    /// A server of another node answered a request.
-    fn learnt_cleared(
+    /// Merges a peer's record of an answered request.
+    fn merge_cleared(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
         fingerprint: Fingerprint,
-        at: Timestamp,
+        cleared_at: Timestamp,
     ) {
         if !self.parameters.enabled {
             return;
         }
-        let record = self.record(now, fingerprint);
+        let record = self.get_or_insert(now, fingerprint);
         let quarantined = record.stage.has_enough_crashes();
         record.stage = Stage::Cleared;
-        record.changed = at;
+        record.changed_at = cleared_at;
         if quarantined {
-            record.told = Audience::All;
-            actions.push_back(change(fingerprint, record, ViewOrigin::Peer));
+            record.announced_to = Audience::All;
+            actions.push_back(state_change(fingerprint, record, ViewOrigin::Peer));
         }
     }
 
-    /// The record of a request under which a server crashed at a time; `None` where an answer about then
-    /// refutes that the request caused it.
-    fn suspected(
+    /// Record of a request to which a crash is to be added; `None` if an answer close to the time of
+    /// the crash shows that the request did not cause it.
+    fn record_for_crash(
         &mut self,
         now: Timestamp,
         crashed_at: Timestamp,
@@ -278,79 +284,84 @@
         if !self.parameters.enabled || answered {
             return None;
         }
-        let record = self.record(now, fingerprint);
+        let record = self.get_or_insert(now, fingerprint);
         if record.stage == Stage::Cleared {
-            if crashed_at.since(record.changed) < lifetime {
+            if crashed_at.since(record.changed_at) < lifetime {
                 return None;
             }
-            // What servers hold may have changed since they answered it.
+            // The answer is too old to exonerate the request: data on servers may have changed.
             *record = Record::new(now);
         }
         Some(record)
     }
 
-    /// The record of a request; where there is none, one is made, and another one may have to go.
-    fn record(&mut self, now: Timestamp, fingerprint: Fingerprint) -> &mut Record {
-        let full = self.records.len() >= self.parameters.records_maximum;
-        if full && !self.records.contains_key(&fingerprint) {
-            self.forget_one();
+    /// Record of a request. A missing record is created, which may evict another one.
+    fn get_or_insert(&mut self, now: Timestamp, fingerprint: Fingerprint) -> &mut Record {
+        let is_full = self.records.len() >= self.parameters.records_maximum;
+        if is_full && !self.records.contains_key(&fingerprint) {
+            self.evict_one();
         }
         self.records
             .entry(fingerprint)
             .or_insert_with(|| Record::new(now))
     }
 
-    /// Forgets the record that changed longest ago; one that is quarantined only where all are.
-    fn forget_one(&mut self) {
-        let order = |record: &Record| (record.stage.has_enough_crashes(), record.changed);
-        let oldest = self.records.iter().min_by_key(|(_, record)| order(record));
+    /// Evicts the record with the oldest change, preferring those that are not quarantined.
+    fn evict_one(&mut self) {
+        let eviction_order =
+            |record: &Record| (record.stage.has_enough_crashes(), record.changed_at);
+        let oldest = self
+            .records
+            .iter()
+            .min_by_key(|(_, record)| eviction_order(record));
         if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
             self.records.remove(&fingerprint);
         }
     }
 
-    fn schedule_telling(&mut self, at: Timestamp, fingerprint: Fingerprint) {
+    /// Schedules an announcement, unless an earlier one is pending.
+    fn schedule_announcement(&mut self, at: Timestamp, fingerprint: Fingerprint) {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
-        let earlier = record.tell_at.filter(|earlier| *earlier <= at);
+        let earlier = record.announce_at.filter(|earlier| *earlier <= at);
         if earlier.is_some() {
             return;
         }
-        if let Some(later) = record.tell_at.replace(at) {
-            self.to_tell.remove(&(later, fingerprint));
+        if let Some(replaced) = record.announce_at.replace(at) {
+            self.announcements.remove(&(replaced, fingerprint));
         }
-        self.to_tell.insert((at, fingerprint));
+        self.announcements.insert((at, fingerprint));
     }
 
-    /// Forgets what is too old. A request in quarantine may be sent again, to one server.
-    fn sweep(&mut self, now: Timestamp) {
+    /// Removes expired records. Quarantined requests return to the suspected stage instead.
+    fn expire(&mut self, now: Timestamp) {
         let Self {
             records,
             parameters,
             ..
         } = self;
         records.retain(|_, record| {
-            if now.since(record.changed) < parameters.kept {
+            if now.since(record.changed_at) < parameters.kept {
                 return true;
             }
             let quarantined = record.stage.has_enough_crashes();
             if quarantined {
-                // One crash more puts it back.
-                let known = parameters.crashes.saturating_sub(1);
-                let spare = record.instances.len().saturating_sub(known);
-                record.instances.drain(..spare);
+                // A single further crash quarantines the request again.
+                let kept = parameters.crashes.saturating_sub(1);
+                let excess = record.instances.len().saturating_sub(kept);
+                record.instances.drain(..excess);
                 record.stage = Stage::Suspected;
-                record.told = Audience::Nobody;
-                record.changed = now;
+                record.announced_to = Audience::None;
+                record.changed_at = now;
             }
             quarantined
         });
     }
 }
 
-/// A change of a record, for the log.
-fn change(fingerprint: Fingerprint, record: &Record, origin: ViewOrigin) -> GatewayAction {
+/// Action that reports the stage of a record.
+fn state_change(fingerprint: Fingerprint, record: &Record, origin: ViewOrigin) -> GatewayAction {
     GatewayAction::Changed(GatewayChange::Quarantine {
         fingerprint,
         state: record.stage.as_str(),
@@ -359,9 +370,9 @@
     })
 }
 
-/// A record as peers are told it.
-fn wire(now: Timestamp, fingerprint: Fingerprint, record: &Record) -> CrashRecord {
-    let age = now.since(record.changed).as_millis();
+/// Wire form of a record.
+fn to_wire(now: Timestamp, fingerprint: Fingerprint, record: &Record) -> CrashRecord {
+    let age = now.since(record.changed_at).as_millis();
     CrashRecord {
         fingerprint,
         instances: record.instances.clone(),
--- a/crates/thornbridge-core/src/gateway/quarantine/record.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/record.rs
@@ -1,62 +1,63 @@
-//! What is known of one request under which servers crashed.
+//! Crash record of one request.
 
 use crate::time::Timestamp;
 use thornbridge_proto::BackEndId;
 
-/// How far the case against a request is.
+/// State of a request that servers crashed under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Fewer servers crashed than are needed.
+    /// Fewer crashes than required for quarantine.
     Suspected,
-    /// Enough did. It may be sent to single servers yet: one answer clears it.
-    Tested {
-        /// Since when.
+    /// Enough crashes, but an answer to a canary attempt may still clear the request.
+    Probing {
+        /// Start of the stage.
         since: Timestamp,
-        /// Servers that got it since.
+        /// Attempts sent in this stage.
         canaries: u32,
     },
-    /// It is sent to no server.
+    /// The request is refused.
     Quarantined,
-    /// A server answered it.
+    /// A server answered the request.
     Cleared,
 }
 
 impl Stage {
-    /// Name for logs.
+    /// Label for logs.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Suspected => "suspected",
-            Self::Tested { .. } | Self::Quarantined => "quarantined",
+            Self::Probing { .. } | Self::Quarantined => "quarantined",
             Self::Cleared => "cleared",
         }
     }
 
-    /// Whether servers crashed under it often enough, as far as is known.
+    /// Whether the number of crashes required for quarantine was reached.
     pub(super) fn has_enough_crashes(self) -> bool {
-        matches!(self, Self::Tested { .. } | Self::Quarantined)
+        matches!(self, Self::Probing { .. } | Self::Quarantined)
     }
 }
 
-/// Who was told of a record.
+/// Members that receive a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Audience {
-    Nobody,
-    /// The members that add up crashes of the request.
-    Homes,
+    None,
+    /// Members that aggregate the crashes of the request.
+    Aggregators,
     All,
 }
 
-/// One request.
+/// Crash record of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) stage: Stage,
-    /// Instances that ended while they had it, the newest last.
+    /// Instances that crashed while running the request, oldest first.
     pub(super) instances: Vec<BackEndId>,
-    /// When the last one did, or when the request was cleared.
-    pub(super) changed: Timestamp,
-    pub(super) told: Audience,
-    /// When others are to be told.
-    pub(super) tell_at: Option<Timestamp>,
+    /// Time of the last crash, or when the request was cleared.
+    pub(super) changed_at: Timestamp,
+    /// Members that the record was last announced to.
+    pub(super) announced_to: Audience,
+    /// Scheduled time of the next announcement.
+    pub(super) announce_at: Option<Timestamp>,
 }
 
 impl Record {
@@ -64,31 +65,31 @@
         Self {
             stage: Stage::Suspected,
             instances: Vec::new(),
-            changed: now,
-            told: Audience::Nobody,
-            tell_at: None,
+            changed_at: now,
+            announced_to: Audience::None,
+            announce_at: None,
         }
     }
 
-    /// Adds an instance, and forgets the oldest beyond `most`; gives whether it was not known.
-    pub(super) fn add(&mut self, instance: &BackEndId, most: usize) -> bool {
+    /// Adds an instance and drops the oldest one beyond `limit`; returns whether it was new.
+    pub(super) fn add(&mut self, instance: &BackEndId, limit: usize) -> bool {
         if self.instances.contains(instance) {
             return false;
         }
         self.instances.push(instance.clone());
-        if self.instances.len() > most {
+        if self.instances.len() > limit {
             self.instances.remove(0);
         }
         true
     }
 
-    /// Whom it concerns as it stands.
+    /// Members that the record must be announced to in its current stage.
     pub(super) fn audience(&self) -> Audience {
         match self.stage {
-            Stage::Suspected => Audience::Homes,
-            Stage::Tested { .. } | Stage::Quarantined => Audience::All,
-            // Whoever heard of the suspicion.
-            Stage::Cleared => self.told,
+            Stage::Suspected => Audience::Aggregators,
+            Stage::Probing { .. } | Stage::Quarantined => Audience::All,
+            // Members that received the suspicion must learn that it is void.
+            Stage::Cleared => self.announced_to,
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, resolved: which route a request takes.
+//! Route table of the active configuration, with services resolved to keys.
 
 use super::budget::ServiceKey;
 use super::patience::StatedPatience;
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use thornbridge_config::routes::{Route, RouteConfiguration, RouteTarget, RouteVersion};
 
-/// Tolerance of a comparison of shares.
+/// Tolerance for rounding errors in `least_share` times the number of shards.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Identity of a route over versions: host and prefix.
+/// Identity of a route across configuration versions, assigned per host and prefix.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RouteKey(pub(super) u64);
 
-/// A target with its services' positions.
+/// Route target with resolved services.
 #[derive(Debug)]
 pub(super) enum ResolvedTarget {
     Service(ServiceKey),
@@ -23,16 +23,17 @@
     Gather(ResolvedGather),
 }
 
-/// The shards of a gather.
+/// Gather target with resolved shards.
 #[derive(Debug)]
 pub(super) struct ResolvedGather {
     pub(super) shards: Vec<ServiceKey>,
+    /// Maximum number of records in an answer.
     pub(super) records: usize,
-    /// Parts without which an answer is no success.
+    /// Minimum number of shards that must answer.
     pub(super) least_parts: usize,
 }
 
-/// One route of one version.
+/// Route of one configuration version.
 #[derive(Debug)]
 pub(super) struct ResolvedRoute {
     pub(super) key: RouteKey,
@@ -41,17 +42,17 @@
     pub(super) target: ResolvedTarget,
 }
 
-/// What is learnt of a route, over all versions that have it.
+/// Statistics of a route, kept across configuration versions.
 #[derive(Debug, Default)]
 pub(super) struct RouteStatistics {
     pub(super) work: WorkEstimate,
-    /// Current weights of a split's parts (smooth weighted round robin).
-    pub(super) split_credit: Vec<f64>,
-    /// What callers say that they wait.
+    /// Current weights of a split's parts, for smooth weighted round robin.
+    pub(super) current_weights: Vec<f64>,
+    /// Timeouts stated by callers.
     pub(super) patience: StatedPatience,
 }
 
-/// The configuration in force.
+/// Routes of the active configuration.
 #[derive(Debug, Default)]
 pub(super) struct RouteTable {
     pub(super) version: RouteVersion,
@@ -62,7 +63,7 @@
 }
 
 impl RouteTable {
-    /// Puts a configuration in force.
+    /// Replaces all routes by those of `configuration`.
     pub(super) fn apply(&mut self, configuration: &RouteConfiguration, servers: &mut Servers) {
         self.version = configuration.version;
         let mut keys = BTreeMap::new();
@@ -93,7 +94,7 @@
         self.keys = keys;
     }
 
-    /// The route of a request: of the host's, the one with the longest prefix that fits.
+    /// Finds the route of a host with the longest matching path prefix.
     pub(super) fn find(&self, host: &str, path: &str) -> Option<Arc<ResolvedRoute>> {
         let routes = self.by_host.get(host)?;
         let found = routes
@@ -102,17 +103,17 @@
         found.cloned()
     }
 
-    /// All routes.
+    /// All routes of all hosts.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<ResolvedRoute>> {
         self.by_host.values().flatten()
     }
 
-    /// What is learnt of a route.
+    /// Statistics of a route, created on first use.
     pub(super) fn statistics(&mut self, key: RouteKey) -> &mut RouteStatistics {
         self.statistics.entry(key).or_default()
     }
 
-    /// Shards of every gather.
+    /// Shards of all gathers.
     pub(super) fn shards(&self) -> BTreeSet<ServiceKey> {
         let routes = self.by_host.values().flatten();
         let shards = routes.filter_map(|route| match &route.target {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Every service that a configuration names.
+/// Services referenced by a configuration.
 pub(super) fn services_of(
     configuration: &RouteConfiguration,
     servers: &mut Servers,
@@ -158,23 +159,22 @@
 }
 
 impl RouteStatistics {
-    /// The next part of a split: smooth weighted round robin, whose shares are exact over each
-    /// run of requests.
+    /// Selects the next part of a split by smooth weighted round robin.
     pub(super) fn next_part(&mut self, parts: &[(ServiceKey, f64)]) -> usize {
-        if self.split_credit.len() != parts.len() {
-            self.split_credit = vec![0.0; parts.len()];
+        if self.current_weights.len() != parts.len() {
+            self.current_weights = vec![0.0; parts.len()];
         }
         let total: f64 = parts.iter().map(|(_, weight)| weight).sum();
-        for (credit, (_, weight)) in self.split_credit.iter_mut().zip(parts) {
-            *credit += weight;
+        for (current, (_, weight)) in self.current_weights.iter_mut().zip(parts) {
+            *current += weight;
         }
         let mut best = 0;
         for index in 1..parts.len() {
-            if self.split_credit[index] > self.split_credit[best] {
+            if self.current_weights[index] > self.current_weights[best] {
                 best = index;
             }
         }
-        self.split_credit[best] -= total;
+        self.current_weights[best] -= total;
         best
     }
 }
