--- a/crates/thornbridge-core/src/gateway/budget.rs
+++ b/crates/thornbridge-core/src/gateway/budget.rs
@@ -1,23 +1,20 @@
-//! The budget of attempts beyond the first, one for each service, shared by all nodes.
+//! Retry budget: limits extra attempts (retries and hedges) per service, over all nodes.
 //!
-//! Over any window, a service may get `ratio` extra attempts for each request and `slack` beside
-//! them, for all nodes together. The ratio divides by itself: each node counts its own requests.
-//! The slack is divided by the members, and the shares must not add up to more than the whole,
-//! whatever a node believes or has forgotten:
+//! Within any window, all nodes together may send a service `ratio` extra attempts for each request,
+//! plus `slack`. Each node counts its own requests towards the ratio. The slack is divided among the
+//! members; the shares must never add up to more than the slack, even if nodes restart or lose sight
+//! of each other:
 //!
-//! - It is divided by the highest number of members that this process ever knew. Members that a node
-//!   has lost may still be there and use their shares.
-//! - A node that is to join through others and has met none uses no share: it cannot know how many
-//!   there are.
-//! - In its first window a process uses no share, and of what its requests earn only what the process
-//!   before it left: that one may have used its part up to its last moment.
+//! - The slack is divided by the highest number of members seen by this process, since lost members
+//!   may still be running and using their shares.
+//! - A node with seeds that has not met any other member uses no share, since the number of members
+//!   is unknown.
+//! - In its first window, a process uses no share of the slack, and of the attempts earned by
+//!   requests only the part that its predecessor left unused.
 //!
-//! A share of less than one attempt is drawn, so that a slack of fewer attempts than nodes is used at
-//! all: some nodes have one, so few that the sum holds.
-//!
-//! Without these, 67 processes made up to 2,116 extra attempts at a shard in ten seconds where 688
-//! were allowed, as its servers counted them while the nodes that others join through were away; and
-//! 648 where 619 were, when all were killed together.
+//! A share below one attempt is granted by a random draw per process and service, so that a slack
+//! smaller than the number of nodes can be used. The probability is low enough for the sum of all
+//! nodes' grants to stay below the slack.
 
 use super::parameters::BudgetParameters;
 use super::window::SumWindow;
@@ -25,14 +22,14 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Position of a service in the table of services.
+/// Index of a service in the table of services.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ServiceKey(pub(super) u32);
 
-/// Standard deviations by which the sum of all nodes' draws stays below the slack.
+/// Standard deviations by which the expected sum of all nodes' draws stays below the slack.
 const DRAW_DEVIATIONS: f64 = 4.0;
 
-/// Steps that a window is counted in.
+/// Steps per window.
 const WINDOW_STEPS: u32 = 40;
 
 #[derive(Debug)]
@@ -41,31 +38,32 @@
     extra: SumWindow,
 }
 
-/// How many nodes share the slack, as far as this one knows.
+/// Upper bound of the number of nodes that share the slack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sharers {
-    /// Others are named to join through, and none was met yet.
+    /// Seeds are configured, and no other member has been met.
     Unknown,
-    /// At most so many were members at one moment, this node included.
+    /// Highest number of members seen at a time, this node included.
     AtMost(usize),
 }
 
-/// Budgets of all services.
+/// Budgets for extra attempts of all services.
 #[derive(Debug)]
 pub(super) struct ExtraAttemptBudget {
     parameters: BudgetParameters,
     sharers: Sharers,
     services: BTreeMap<ServiceKey, ServiceBudget>,
-    /// What this process draws its shares by.
+    /// Seed for the draws of shares below one attempt.
     seed: u64,
 }
 
 impl ExtraAttemptBudget {
-    /// `others_named`: whether other nodes are named to join through, also where this is one of them.
-    pub(super) fn new(parameters: BudgetParameters, others_named: bool, seed: u64) -> Self {
+    /// Budgets without any request counted. `has_other_seeds`: whether a node other than this one is
+    /// configured as a seed.
+    pub(super) fn new(parameters: BudgetParameters, has_other_seeds: bool, seed: u64) -> Self {
         Self {
             seed,
-            sharers: match others_named {
+            sharers: match has_other_seeds {
                 true => Sharers::Unknown,
                 false => Sharers::AtMost(1),
             },
@@ -74,7 +72,7 @@
         }
     }
 
-    /// Takes new tunable values. Another window begins anew, without anything earned.
+    /// Applies new parameters; a changed window length resets all budgets.
     pub(super) fn set_parameters(&mut self, parameters: BudgetParameters) {
         if parameters.window != self.parameters.window {
             self.services.clear();
@@ -82,16 +80,16 @@
         self.parameters = parameters;
     }
 
-    /// Members, this node included, that share the slack.
+    /// Updates the number of members, this node included, that share the slack.
     pub(super) fn set_members(&mut self, members: usize) {
         self.sharers = match self.sharers {
             Sharers::Unknown if members < 2 => Sharers::Unknown,
             Sharers::Unknown => Sharers::AtMost(members),
-            Sharers::AtMost(most) => Sharers::AtMost(most.max(members)),
+            Sharers::AtMost(highest) => Sharers::AtMost(highest.max(members)),
         };
     }
 
-    /// Nodes by which the slack is divided; `None` while that cannot be known.
+    /// Number of members that the slack is divided by; `None` while unknown.
     pub(super) fn sharers(&self) -> Option<usize> {
         match self.sharers {
             Sharers::Unknown => None,
@@ -99,7 +97,7 @@
         }
     }
 
-    /// This node's share of the slack, once it uses one.
+    /// This node's share of the slack, in attempts per window.
     pub(super) fn slack_share(&self) -> f64 {
         match self.sharers {
             Sharers::Unknown => 0.0,
@@ -107,8 +105,8 @@
         }
     }
 
-    /// Extra attempts of a window that this node may use of the slack, beside those that requests
-    /// earn.
+    /// Extra attempts per window that this node may take from the slack, beyond those earned by
+    /// requests.
     fn slack_allowance(&self, service: ServiceKey) -> f64 {
         let share = self.parameters.used_share * self.slack_share();
         if share >= 1.0 {
@@ -116,19 +114,19 @@
         }
         let members = self.sharers().unwrap_or(1) as f64;
         let deviation = (share * (1.0 - share) / members).sqrt();
-        let chance = share - DRAW_DEVIATIONS * deviation;
-        let drawn = xxh3_64_with_seed(&service.0.to_le_bytes(), self.seed);
-        let draw = drawn as f64 / u64::MAX as f64;
-        f64::from(u8::from(draw < chance))
+        let probability = share - DRAW_DEVIATIONS * deviation;
+        let hash = xxh3_64_with_seed(&service.0.to_le_bytes(), self.seed);
+        let draw = hash as f64 / u64::MAX as f64;
+        f64::from(u8::from(draw < probability))
     }
 
-    /// Whether attempts of a process before this one may count yet.
+    /// Whether attempts of the previous process may still count in the current window.
     fn is_settling(&self, now: Timestamp) -> bool {
-        let settled = self.parameters.settling_windows;
-        now.since_epoch() < self.parameters.window.mul_f64(settled)
+        let windows = self.parameters.settling_windows;
+        now.since_epoch() < self.parameters.window.mul_f64(windows)
     }
 
-    /// A request for a service came.
+    /// Counts a request for a service.
     pub(super) fn request(&mut self, now: Timestamp, service: ServiceKey) {
         self.budget(service).requests.add(now, 1);
     }
@@ -141,14 +139,14 @@
         let budget = self.budget(service);
         let earned = ratio * budget.requests.sum(now) as f64;
         let extra = budget.extra.sum(now) as f64;
-        let most = match settling {
+        let limit = match settling {
             true => (1.0 - used) * earned,
             false => used * earned + slack,
         };
-        extra + 1.0 <= most
+        extra + 1.0 <= limit
     }
 
-    /// Takes one extra attempt; `false`, and nothing taken, where the budget does not allow it.
+    /// Takes one extra attempt from the budget; returns `false` and takes none if it is exhausted.
     #[must_use]
     pub(super) fn try_take(&mut self, now: Timestamp, service: ServiceKey) -> bool {
         if !self.allows(now, service) {
@@ -164,7 +162,7 @@
             .entry(service)
             .or_insert_with(|| ServiceBudget {
                 requests: SumWindow::new(step, WINDOW_STEPS),
-                // One step more: an attempt still counts where it arrives late.
+                // Longer than the window, since servers may count an attempt later than this node.
                 extra: SumWindow::new(step, WINDOW_STEPS + 2),
             })
     }
--- a/crates/thornbridge-core/src/gateway/staging.rs
+++ b/crates/thornbridge-core/src/gateway/staging.rs
@@ -1,15 +1,15 @@
-//! A configuration that is known but not yet in force.
+//! Staging of a configuration that is known but not yet in force.
 //!
-//! A configuration that names other shards waits, for a bounded time, for a connection to each of
-//! them: the first requests would else all pay for opening one. A version is put in force as a
-//! whole, so that no route goes back.
+//! A configuration with new shards is staged until a connection to each of them is open, or a
+//! timeout has passed, so that the first requests need not wait for connections. A version is
+//! activated as a whole, so that no route reverts to an older version.
 
 use crate::gateway::notes::ViewOrigin;
 use crate::time::Timestamp;
 use std::sync::Arc;
 use thornbridge_config::routes::{RouteConfiguration, RouteVersion};
 
-/// A configuration on its way.
+/// A staged configuration.
 #[derive(Clone, Debug)]
 pub(super) struct Staged {
     pub(super) configuration: Arc<RouteConfiguration>,
@@ -17,15 +17,17 @@
     pub(super) since: Timestamp,
 }
 
-/// The newest configuration that is not in force.
+/// Holder of the newest configuration that is not yet in force.
 #[derive(Debug, Default)]
 pub(super) struct Staging {
     staged: Option<Staged>,
 }
 
 impl Staging {
-    /// Takes a configuration that is newer than what is in force. A wait that has begun for an
-    /// older one goes on, so that a quick succession of versions is not put off for ever.
+    /// Stages a configuration that is newer than the one in force, unless a newer one is staged.
+    ///
+    /// The staging time of a replaced version is kept, so that rapid updates cannot postpone
+    /// activation forever.
     pub(super) fn stage(
         &mut self,
         now: Timestamp,
@@ -43,7 +45,7 @@
         });
     }
 
-    /// Version on its way.
+    /// Version of the staged configuration.
     pub(super) fn version(&self) -> Option<RouteVersion> {
         Some(self.staged.as_ref()?.configuration.version)
     }
--- a/crates/thornbridge-core/src/gateway/window.rs
+++ b/crates/thornbridge-core/src/gateway/window.rs
@@ -1,4 +1,4 @@
-//! Sums and maxima over a sliding window, counted in steps.
+//! Sliding-window sum and maximum, with the resolution of a step.
 
 use crate::time::Timestamp;
 use std::collections::VecDeque;
@@ -8,11 +8,12 @@
     (now.since_epoch().as_micros() / step.as_micros().max(1)) as u64
 }
 
-/// A sum over the last steps.
+/// Sum over a sliding window.
 #[derive(Debug)]
 pub(super) struct SumWindow {
     step: Duration,
     steps: u32,
+    /// Step and count, oldest first.
     counts: VecDeque<(u64, u64)>,
     sum: u64,
 }
@@ -28,7 +29,7 @@
     }
 
     pub(super) fn add(&mut self, now: Timestamp, count: u64) {
-        self.forget(now);
+        self.evict_expired(now);
         let step = step_of(now, self.step);
         match self.counts.back_mut() {
             Some((last, value)) if *last == step => *value += count,
@@ -38,11 +39,11 @@
     }
 
     pub(super) fn sum(&mut self, now: Timestamp) -> u64 {
-        self.forget(now);
+        self.evict_expired(now);
         self.sum
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn evict_expired(&mut self, now: Timestamp) {
         let oldest = step_of(now, self.step).saturating_sub(u64::from(self.steps));
         while let Some((step, count)) = self.counts.front() {
             if *step >= oldest {
@@ -54,12 +55,12 @@
     }
 }
 
-/// The highest value observed over the last steps, and the last one.
+/// Maximum of a value over a sliding window; the value holds until the next observation.
 #[derive(Debug)]
 pub(super) struct MaximumWindow {
     step: Duration,
     steps: u32,
-    /// Falling values; a value that is not higher than a later one is of no more use.
+    /// Step and value, oldest first and strictly decreasing in value.
     values: VecDeque<(u64, u64)>,
     last: u64,
 }
@@ -76,7 +77,7 @@
 
     pub(super) fn observe(&mut self, now: Timestamp, value: u64) {
         let step = step_of(now, self.step);
-        // The value before held until now.
+        // The previous value was valid until now.
         self.push(step, self.last);
         self.push(step, value);
         self.last = value;
--- a/crates/thornbridge-core/src/gateway/work.rs
+++ b/crates/thornbridge-core/src/gateway/work.rs
@@ -1,17 +1,18 @@
-//! What is learnt of the work of a route's requests at a server of usual speed.
+//! Estimate of a route's work: the time that a server of average speed needs to process a request,
+//! without the network round trip.
 
 use super::parameters::ServerParameters;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Observations after which the sorted copy is made anew.
-const REFRESH_EVERY: u32 = 16;
-/// Observations below which nothing is said.
-const LEAST_SAMPLES: usize = 12;
-/// Weight of the newest observation in the mean.
+/// Observations after which the samples are sorted again.
+const SORT_INTERVAL: u32 = 16;
+/// Least number of samples for a quantile.
+const MIN_SAMPLES: usize = 12;
+/// Weight of the newest observation in the moving average.
 const MEAN_WEIGHT: f64 = 0.03;
 
-/// The work of one route.
+/// Mean and quantiles of the work of one route.
 #[derive(Debug, Default)]
 pub(super) struct WorkEstimate {
     mean: Option<f64>,
@@ -21,11 +22,11 @@
 }
 
 impl WorkEstimate {
-    /// A server of usual speed took this long, without the way there and back.
+    /// Records the work of one request, normalized to a server of average speed.
     pub(super) fn observe(&mut self, parameters: &ServerParameters, work: Duration) {
         let micros = work.as_micros() as u64;
         let mean = self.mean.unwrap_or(micros as f64);
-        // A pause or a stall says nothing about the work: it is bounded in the mean.
+        // Bounds outliers, such as pauses of a server, in the mean.
         let bounded = (micros as f64).min(mean.max(1_000.0) * 4.0);
         self.mean = Some(mean + (bounded - mean) * MEAN_WEIGHT);
         self.samples.push_back(micros);
@@ -33,7 +34,7 @@
             self.samples.pop_front();
         }
         self.since_sorted += 1;
-        if self.since_sorted >= REFRESH_EVERY || self.sorted.len() < LEAST_SAMPLES {
+        if self.since_sorted >= SORT_INTERVAL || self.sorted.len() < MIN_SAMPLES {
             self.since_sorted = 0;
             self.sorted.clear();
             self.sorted.extend(self.samples.iter().copied());
@@ -41,15 +42,14 @@
         }
     }
 
-    /// Mean work.
     pub(super) fn mean(&self) -> Option<Duration> {
         let mean = self.mean?;
         Some(Duration::from_micros(mean as u64))
     }
 
-    /// The work that this share (0 to 1) of requests stays under.
+    /// Quantile of the work, for a `share` from 0 to 1; `None` with too few samples.
     pub(super) fn quantile(&self, share: f64) -> Option<Duration> {
-        if self.sorted.len() < LEAST_SAMPLES {
+        if self.sorted.len() < MIN_SAMPLES {
             return None;
         }
         let index = ((self.sorted.len() - 1) as f64 * share).round() as usize;
