--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -1,38 +1,38 @@
-//! Tunable values of a gateway, each with its default and the reason for it.
+//! Tunable parameters of a gateway and their defaults.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values of the views.
+/// Parameters of the views: configuration, registry and evacuated zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ViewParameters {
-    /// Whether zones may be evacuated: orders of that are read then.
+    /// Whether zones may be evacuated; if so, evacuation orders are read from the store.
     pub evacuations: bool,
     /// Age of views, since the store last confirmed them, at which a node reads the store itself.
     pub staleness_limit: Duration,
-    /// Longest wait of a watch. Views are confirmed when it ends.
+    /// Longest wait of a watch. The end of a watch confirms the views.
     pub watch_wait: Duration,
-    /// Time between polls of the member that a node follows.
+    /// Interval between polls of the member that a node follows.
     pub poll_interval: Duration,
-    /// Pause after a watch that brought changes: more often follow, and each call has its price.
+    /// Pause after a watch that returned changes, so that further changes are read together.
     pub coalescing: Duration,
-    /// Time beyond the wait, or for a list, after which a read has failed.
+    /// Timeout of a list, and of a watch beyond its wait.
     pub read_timeout: Duration,
-    /// The same for the first reads, doubled with each second that fails: a store that was away when a
-    /// connection was opened is tried again soon.
+    /// Initial timeout of lists, doubled after every second failure up to `read_timeout`. Short, so
+    /// that a connection opened while the store was down is soon replaced.
     pub first_read_timeout: Duration,
-    /// First pause after a read that failed; doubled with each.
+    /// Initial backoff after a failed read, doubled with each further failure.
     pub first_backoff: Duration,
-    /// Pause after a read that failed while nothing is known; it does not grow.
+    /// Constant backoff after failed reads while no view is known.
     pub unknown_backoff: Duration,
-    /// Longest pause between reads.
+    /// Upper bound of the backoff between reads.
     pub longest_backoff: Duration,
-    /// Time between exchanges of digests with one peer drawn at random.
+    /// Interval between exchanges of digests with one random peer.
     pub digest_interval: Duration,
-    /// Peers that are told at once of a new revision.
+    /// Number of peers notified at once of a new revision.
     pub digest_fanout: usize,
-    /// Time for which departures are remembered for peers.
+    /// Time for which removed instances are remembered for peers.
     pub departures_kept: Duration,
     /// Longest time for which a new configuration waits for connections to new shards.
     pub staging: Duration,
@@ -59,88 +59,87 @@
     }
 }
 
-/// Tunable values of the servers and their choice.
+/// Parameters of servers, connections and server selection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServerParameters {
-    /// Share of a server's connections that all nodes together use. Below a half, since machines
-    /// that lose power leave theirs to the server for a while, and come back for new ones.
+    /// Share of a server's connection limit that all nodes together use. Below one half, since the
+    /// connections of machines that lost power occupy the server until it closes them.
     pub connection_share: f64,
-    /// Share of a server's connections that is given out where not every node can have one. The
-    /// rest is for nodes that others do not know yet, and for second choices. A half would leave
-    /// room for machines that come back after a power loss, and costs more on all other days.
+    /// Share of a server's connection limit that subsetting assigns. The rest is for nodes missing
+    /// in other nodes' member lists, and for connections outside of the subset.
     pub subset_share: f64,
-    /// Servers of a service that a node wants to be connected to, where not all are open to it.
+    /// Servers of a service in a node's subset, if not all nodes can connect to all servers.
     pub replicas_wanted: u32,
-    /// Servers of a service to which a connection is opened ahead of use: the choice, a second
-    /// attempt, and one in reserve. Others are connected to when a request needs them.
+    /// Servers of a service to connect to ahead of use. Others are connected to on demand.
     pub servers_ahead: usize,
-    /// Most connections of this node to one server.
+    /// Upper bound of this node's connections to one server.
     pub connections_maximum: u32,
-    /// Weight of the newest observation of a server's speed.
+    /// Weight of an observation in the estimate of a server's slowdown.
     pub speed_weight: f64,
-    /// Time between observations of a server for which the weight holds; after longer times the
-    /// newest weighs as much as those that were missed.
+    /// Interval between observations at which `speed_weight` applies; the weight grows with longer
+    /// intervals.
     pub speed_interval: Duration,
-    /// Half-life of what is known of a server's speed, while nothing is observed.
+    /// Half-life of a server's slowdown without observations.
     pub speed_half_life: Duration,
-    /// Cost of a server in another zone, beside its latency: bytes between zones are paid for.
+    /// Cost of a server in another zone, beyond its latency; cross-zone traffic is charged for.
     pub other_zone_cost: Duration,
-    /// Cost of a server in another region.
+    /// Cost of a server in another region, beyond its latency.
     pub other_region_cost: Duration,
-    /// Cost that a failure adds.
+    /// Cost added by a failure.
     pub failure_cost: Duration,
-    /// Cost that a refused connection adds.
+    /// Cost added by a connection that could not be opened.
     pub unreachable_cost: Duration,
-    /// Half-life of these costs.
+    /// Half-life of failure costs.
     pub failure_half_life: Duration,
-    /// Cost of a server that rejects all that it gets: an attempt of the few that a part has.
+    /// Cost of a server that rejects all requests.
     pub rejection_cost: Duration,
-    /// Weight of the newest answer in the share that a server rejects.
+    /// Weight of an answer in the rejection rate of a server.
     pub rejection_weight: f64,
-    /// Half-life of that share while nothing is sent to the server. Longer than other failures are
-    /// remembered: a server that works at a part of its requests may do so for long, and each node
-    /// meets it seldom.
+    /// Half-life of the rejection rate without requests. Longer than that of failures, since a
+    /// server may reject requests for long and each node seldom sends to it.
     pub rejection_half_life: Duration,
-    /// An attempt this many times older than expected makes its server a poor choice.
+    /// Multiple of the expected latency, plus `silence_margin`, after which an attempt is overdue.
     pub silence_factor: f64,
-    /// The same, in time that is added.
+    /// Time beyond `silence_factor` times the expected latency after which an attempt is overdue.
     pub silence_margin: Duration,
-    /// Cost of a server that is silent.
+    /// Cost of a server with an overdue attempt.
     pub silence_cost: Duration,
-    /// Least time without an answer after which it may be the connection that is dead: others to the
-    /// server that were not used since are closed, and a fresh one may be opened beside it. More than
-    /// servers pause (0.3 s), and half of the second in which a request is to be served.
+    /// Least time without an answer after which a connection may be dead. Older idle connections to
+    /// the server are then closed, and another connection may be opened. Longer than usual pauses
+    /// of servers.
     pub dead_connection: Duration,
-    /// Pause after a connection that could not be opened, or that was closed before it carried
-    /// an answer; doubled with each in a row.
+    /// Initial backoff after a connection that could not be opened or was closed before it carried
+    /// an answer; doubled with each further one in a row.
     pub reconnect_pause: Duration,
-    /// Longest such pause after connections that could not be opened.
+    /// Upper bound of the reconnect backoff after connections that could not be opened.
     pub reconnect_pause_maximum: Duration,
-    /// Longest such pause after connections that were closed at once: the server has too many, and
-    /// will for as long as there are so many nodes.
+    /// Upper bound of the reconnect backoff after connections that were closed at once, by servers at
+    /// their connection limit.
     pub refused_pause_maximum: Duration,
-    /// Time that a resting connection is kept, where the server names none.
+    /// Idle timeout of connections, unless the server announces a shorter one.
     pub idle_time: Duration,
-    /// The same for connections beyond the first to a server: they are left of a burst, and a
-    /// machine that loses power leaves them to the server for a while.
+    /// Idle timeout of connections to a server beyond the first, and of connections outside of the
+    /// subset.
     pub spare_idle_time: Duration,
-    /// Time that a connection is kept after use while servers refuse others: all nodes share them.
+    /// Idle timeout while servers refuse connections, so that nodes share the available ones.
     pub scarce_idle_time: Duration,
-    /// Time for which a refused connection is remembered.
+    /// Window in which refused connections are counted.
     pub scarcity_window: Duration,
-    /// Time after a start in which other members may not be known: one connection a server.
+    /// Time after startup in which the member list may be incomplete; one connection to each server
+    /// is allowed.
     pub settling: Duration,
-    /// Time for which the highest number of members counts.
+    /// Window over which the maximum number of members is taken.
     pub members_memory: Duration,
-    /// Time that an instance is still used, as a last choice, after its entry vanished without
-    /// notice: the store may have lost entries that their servers write again within a heartbeat.
+    /// Time for which an instance is still used as a last resort after its entry vanished; its
+    /// server may write a lost entry again with the next heartbeat.
     pub vanished_grace: Duration,
-    /// The same, counted from when the store last confirmed that the entry was there.
+    /// Time for which such an instance is used at most, from when the store last confirmed its
+    /// entry.
     pub vanished_unconfirmed: Duration,
-    /// Time for which servers count as cold after an evacuation: as users say of their start (3 s).
+    /// Time for which servers count as cold after an evacuation.
     pub cold_after_evacuation: Duration,
-    /// Answers from which a quantile of the work is taken.
+    /// Samples from which quantiles of the work are taken.
     pub work_samples: usize,
 }
 
@@ -184,47 +183,44 @@
     }
 }
 
-/// Tunable values of requests.
+/// Parameters of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ExchangeParameters {
-    /// One way to a caller: a latency objective counts at the caller.
+    /// One-way network delay to a caller; the latency objective is measured at the caller.
     pub caller_delay: Duration,
-    /// Time kept for this node's own work between the decision to answer and the last byte.
+    /// Time reserved for this node's own work between the decision to answer and the last byte.
     pub answer_margin: Duration,
-    /// Most that is kept, as a share of the latency objective, for the time that answers of this
-    /// node are seen to wait after they were decided.
+    /// Upper bound of the time reserved for observed delays of this node's answers, as a share of
+    /// the latency objective.
     pub delay_share_maximum: f64,
-    /// Quantile of the work after which a second attempt is made, at the soonest.
+    /// Quantile of the work after which a request may be hedged.
     pub hedge_quantile: f64,
-    /// Time that is kept for a second attempt before an answer is due, in times that it usually takes.
+    /// Time reserved for a hedge before the answer is due, in multiples of the hedge's expected
+    /// latency.
     pub hedge_reserve: f64,
-    /// Least time before a second attempt.
+    /// Least delay of a hedge.
     pub hedge_minimum: Duration,
-    /// Share of the latency objective that a second attempt waits before anything is learnt.
+    /// Delay of a hedge before the work is known, as a share of the latency objective.
     pub hedge_initial_share: f64,
-    /// Time between looks at a request that waits for the budget or a server.
+    /// Interval between checks of a request that waits for the budget or a server.
     pub look_interval: Duration,
-    /// Time after a caller left before its attempts are cut off. Most end by themselves, and a
-    /// connection is dear.
+    /// Time after the end of a request until its attempts are cancelled. Cancelling closes the
+    /// connection, and most attempts end by themselves.
     pub gone_grace: Duration,
-    /// When a refused caller is to come back, at the soonest.
+    /// Least `Retry-After` time of a refused caller.
     pub retry_after: Duration,
-    /// When one that cannot be served yet is to come back, as a share of its patience: late, since
-    /// it comes back once only, and early enough to be served then.
+    /// `Retry-After` time of a caller that cannot be served yet, as a share of its patience.
     pub retry_after_share: f64,
     /// Share of a caller's patience for which its request waits while no configuration or registry
     /// is known.
     pub awaiting_share: f64,
-    /// Time after a start in which servers that are not registered may still come: the store may
-    /// have lost their entries while it was away.
+    /// Time after startup in which missing servers may still register.
     pub settling: Duration,
-    /// Time beyond the expected report after which an owner of a slice counts as silent: another one is
-    /// asked, and later gathers avoid it. As a share of the latency objective: against 0.3, 0.1 costs
-    /// 0.014 ± 0.007 on days of high load, where loaded owners are taken for silent, and gains 0.03 where
-    /// 30% of the nodes are (pairs of days, docs/DECISIONS).
+    /// Time beyond the expected report after which an owner of a slice counts as silent and another
+    /// owner gets the slice, as a share of the latency objective.
     pub silent_owner_share: f64,
-    /// Requests at once, beyond which new ones are refused.
+    /// Number of concurrent requests beyond which new ones are refused.
     pub requests_maximum: usize,
 }
 
@@ -250,20 +246,21 @@
     }
 }
 
-/// The budget of attempts beyond the first, for all nodes together.
+/// Parameters of the retry budget, which all nodes share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BudgetParameters {
-    /// Extra attempts for each request of a service.
+    /// Extra attempts per request of a service.
     pub ratio: f64,
-    /// Extra attempts in a window beside those, for all nodes together.
+    /// Extra attempts per window in addition to those earned by `ratio`, for all nodes together.
     pub slack: f64,
-    /// Window.
+    /// Length of the window.
     pub window: Duration,
-    /// Share of the budget that is used: attempts arrive later than they are counted here.
+    /// Share of the budget that is used; the rest covers attempts that reach servers later than
+    /// they are counted.
     pub used_share: f64,
-    /// Windows after a start in which only what [`Self::used_share`] leaves is used: the process before
-    /// may have used the rest up to its end, and its last attempts arrive later than they were counted.
+    /// Windows after startup in which only the share left by `used_share` may be used, since the
+    /// previous process may have used the rest.
     pub settling_windows: f64,
 }
 
@@ -279,25 +276,25 @@
     }
 }
 
-/// Tunable values of gathers that are divided among nodes.
+/// Parameters of gathers that are divided among nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SliceParameters {
-    /// Time that this node needs for one part of a gather: to send it and to take its answer. Zero
-    /// where it is not known; gathers are not divided then.
+    /// Processor time of this node for one part of a gather. Zero if unknown; gathers are not
+    /// divided then.
     pub part_cost: Duration,
-    /// Way to another node and back, as far as it is known before one was asked: two zones of a
-    /// region.
+    /// Round trip to another node, before any was measured.
     pub hop: Duration,
-    /// Share of the latency objective that a whole gather may take of this node's time before it
-    /// is divided. A guess: the rest is for the servers and the ways.
+    /// Share of the latency objective that an undivided gather may take of this node's processor
+    /// time.
     pub whole_share_maximum: f64,
-    /// Most that is kept for the way to an owner and back, as a share of the latency objective. A
-    /// guess, as for answers that wait in this node.
+    /// Upper bound of the time reserved for the round trip to an owner, as a share of the latency
+    /// objective.
     pub overhead_share_maximum: f64,
-    /// What is kept before anything was observed. A guess.
+    /// Time reserved for the round trip to an owner before any was measured, as a share of the
+    /// latency objective.
     pub overhead_share_initial: f64,
-    /// Half-life of an owner's failures: about the time in which members learn that one is gone.
+    /// Half-life of an owner's failures.
     pub failure_half_life: Duration,
 }
 
@@ -314,31 +311,28 @@
     }
 }
 
-/// Tunable values of requests that crash servers.
+/// Parameters of the quarantine of requests that crash servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct QuarantineParameters {
-    /// Whether such requests are looked for at all.
+    /// Whether requests that crash servers are detected.
     pub enabled: bool,
-    /// Servers that must have crashed under a request. Two would be met by others that ran beside one
-    /// twice; each more costs servers.
+    /// Servers that must have crashed while processing a request. Lower values would affect
+    /// requests that ran at the same time as such a request.
     pub crashes: usize,
-    /// Servers that may get it after that, so that one can clear it.
+    /// Servers that may get a suspected request, so that a successful answer can clear it.
     pub canaries: u32,
-    /// Longest time for which they may: several times as long as a server pauses (0.3 s), and an eighth
-    /// of the least time in which users want it to be known everywhere (4 s).
+    /// Longest time in which canaries may get a suspected request. Longer than usual pauses of servers.
     pub testing: Duration,
-    /// Time after a crash until others are told of it: most requests are cleared by then.
+    /// Delay after a crash until peers are notified; most requests are cleared by then.
     pub telling: Duration,
-    /// Time between messages to one peer drawn at random, while there is something to tell.
+    /// Interval between messages to one random peer while there are records.
     pub repair_interval: Duration,
-    /// Time after its last crash for which a request is kept from servers. A guess: servers may be
-    /// repaired meanwhile, and one of them gets it then.
+    /// Time after the last crash for which a request stays quarantined.
     pub kept: Duration,
-    /// Time for which an answered request is not suspected: connections of servers that end at one
-    /// moment break within a second or two. A guess beyond that.
+    /// Time for which an answered request is not suspected.
     pub answered_lifetime: Duration,
-    /// Requests that are remembered: about 0.5 MB.
+    /// Upper bound of the number of records.
     pub records_maximum: usize,
 }
 
@@ -358,11 +352,10 @@
     }
 }
 
-/// Time that a whole processor core needs for one part of a gather: 180 parts take 10 to 40 ms of one
-/// (docs/design/0017), so that it is calculated, and at the lower end.
-const PART_COST_OF_A_CORE: Duration = Duration::from_micros(100);
+/// Processor time for one part of a gather on a full core.
+const PART_COST_PER_CORE: Duration = Duration::from_micros(100);
 
-/// All tunable values of a gateway.
+/// All tunable parameters of a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct GatewayParameters {
@@ -374,35 +367,38 @@
     pub exchange: ExchangeParameters,
     /// Gathers that are divided among nodes.
     pub slices: SliceParameters,
-    /// Requests that crash servers.
+    /// Quarantine of requests that crash servers.
     pub quarantine: QuarantineParameters,
-    /// Extra attempts.
+    /// Retry budget.
     pub budget: BudgetParameters,
     /// Membership.
     pub membership: crate::membership::MembershipParameters,
 }
 
-/// Part of the time in which a change must be in force after which views count as too old.
+/// Staleness limit of views, as a share of the shortest time in which a change must be in force.
 const STALENESS_SHARE: f64 = 0.6;
-/// Part of that age that a watch waits.
+/// Wait of a watch, as a share of the staleness limit.
 const WATCH_SHARE: f64 = 0.25;
-/// Part of that age between polls.
+/// Poll interval, as a share of the staleness limit.
 const POLL_SHARE: f64 = 0.2;
-/// Part of the time to drain for which a server whose entry vanished is still a last choice.
+/// Grace period of vanished servers, as a share of the drain time.
 const VANISHED_SHARE: f64 = 0.6;
-/// Part of the time to drain, from when the store last confirmed its entry, after which it is none.
+/// Longest use of a vanished server since the store last confirmed its entry, as a share of the drain
+/// time.
 const UNCONFIRMED_SHARE: f64 = 0.85;
 
 impl GatewayParameters {
-    /// Fits the division of gathers to the share of a processor core that this node has.
+    /// Derives the part cost of gathers from the share of a processor core that this node has.
     pub fn fit_processor(&mut self, share: f64) {
         if share.is_finite() && share > 0.0 {
-            self.slices.part_cost = PART_COST_OF_A_CORE.div_f64(share);
+            self.slices.part_cost = PART_COST_PER_CORE.div_f64(share);
         }
     }
 
-    /// Fits the views and servers to the operator's bounds: the time in which a configuration must be in
-    /// force, and those after which leaving servers, and servers of evacuated zones, must get nothing.
+    /// Derives view and server parameters from the operator's bounds.
+    ///
+    /// `in_force` is the time in which a configuration must be in force; `drain` and `evacuation` are
+    /// the times after which leaving servers and servers of evacuated zones must get no requests.
     pub fn fit(&mut self, in_force: Duration, drain: Duration, evacuation: Option<Duration>) {
         let least = in_force.min(drain).min(evacuation.unwrap_or(Duration::MAX));
         self.views.evacuations = evacuation.is_some();
