--- a/crates/thornbridge-core/src/limits/concurrency.rs
+++ b/crates/thornbridge-core/src/limits/concurrency.rs
@@ -1,58 +1,61 @@
-//! A limit on concurrency that adapts to what the back ends can bear.
+//! Adaptive concurrency limit, driven by latency and shed requests.
 //!
-//! Latency is watched in windows. A window whose median lies above a target, or in which requests
-//! were shed, lowers the limit in proportion to the excess, at most once a window; one that was
-//! used to the full without excess raises it. The target is a multiple of the least latency seen
-//! lately, and at least what the service wants. The increase grows with the root of the limit, so
-//! that nodes which share back ends come to equal limits (D. Bansal and H. Balakrishnan, "Binomial
-//! Congestion Control Algorithms", INFOCOM 2001). The control law and limits below one by pacing
-//! follow G. Kumar et al., "Swift: Delay is Simple and Effective for Congestion Control in the
-//! Datacenter", SIGCOMM 2020; the least latency as a sliding minimum follows N. Cardwell et al.,
-//! "BBR", ACM Queue 2016.
+//! Latency is sampled in windows. A window whose median exceeds the target, or in which requests
+//! were shed, lowers the limit in proportion to the excess. A window in which the limit held
+//! requests back, without any excess, raises the limit. The target is a multiple of the baseline
+//! (a sliding minimum of the latency), but at least a share of the service's target latency.
 //!
-//! Limits below one matter: with hundreds of nodes before a few slots, one request in flight on
-//! each node is already too much. There, starts are spaced by `latency / limit`.
+//! The increase is proportional to the square root of the limit, so that nodes sharing back ends
+//! converge to equal limits. A limit below one is enforced by pacing: starts are spaced by
+//! `latency / limit`, since many nodes in front of few slots overload them with one request each.
+//!
+//! References:
+//! - D. Bansal and H. Balakrishnan, "Binomial Congestion Control Algorithms", INFOCOM 2001.
+//! - G. Kumar et al., "Swift: Delay is Simple and Effective for Congestion Control in the
+//!   Datacenter", SIGCOMM 2020 (control law, pacing below one).
+//! - N. Cardwell et al., "BBR", ACM Queue 2016 (sliding minimum).
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most latency samples kept of one window; later ones of the same window are not needed for a median.
+/// Latency samples kept per window; further samples are dropped.
 const SAMPLES_PER_WINDOW: usize = 64;
-/// Parts of the memory of the least latency.
-const BASELINE_PARTS: u32 = 6;
+/// Buckets of the sliding minimum.
+const BASELINE_BUCKETS: u32 = 6;
 
-/// Tunable values of one adaptive limit.
+/// Parameters of an adaptive concurrency limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AdaptiveLimitParameters {
-    /// Limit before anything is learnt.
+    /// Initial limit.
     pub initial: f64,
-    /// Least limit. Not zero: something must run to learn that load went down.
+    /// Lower bound of the limit. Above zero, so that requests still run and sample the latency.
     pub minimum: f64,
-    /// Shortest window between two changes. Long enough for a change to show in the latency.
+    /// Minimum length of a window. Must be long enough for a change of the limit to show in the
+    /// latency.
     pub window: Duration,
-    /// Samples that end a window.
+    /// Finished requests that complete a window.
     pub window_samples: u32,
-    /// A window this long ends with fewer samples, so that a low limit can rise again.
+    /// Length at which a window ends with fewer samples, so that a low limit can recover.
     pub longest_window: Duration,
-    /// Multiple of the least latency that is still acceptable: queueing up to this is normal.
+    /// Multiple of the baseline latency that is acceptable as normal queueing.
     pub tolerance: f64,
-    /// Share of the service's target up to which the median is acceptable whatever the least
-    /// latency is. Below one: a service whose median is at its target answers half too late.
+    /// Share of the service's target latency up to which the median is acceptable, whatever the
+    /// baseline is. Below one, since half of the requests exceed the median.
     pub target_share: f64,
-    /// Added to the target, so that very small latencies are not held against it.
+    /// Added to the multiple of the baseline, so that jitter on tiny latencies is tolerated.
     pub allowance: Duration,
     /// Share of overloaded requests in a window above which the limit is lowered.
     pub overload_share: f64,
-    /// Most that one window lowers the limit, as a share.
+    /// Largest decrease per window, as a share of the limit.
     pub greatest_decrease: f64,
-    /// Gain of the decrease on the relative excess.
+    /// Factor from the relative excess to the relative decrease.
     pub decrease_gain: f64,
-    /// Raise by a window that was used to the full, as a multiple of the limit's root.
+    /// Increase per saturated window, as a multiple of the limit's square root.
     pub growth: f64,
-    /// How long the least latency is remembered.
+    /// Period that the sliding minimum of the latency covers.
     pub baseline_memory: Duration,
 }
 
@@ -76,15 +79,16 @@
     }
 }
 
-/// One finished request, as the limit sees it.
+/// A finished request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitSample {
-    /// Latency that rises with load; absent where there is none to speak of.
+    /// Load-dependent latency, if measured.
     pub latency: Option<Duration>,
-    /// Whether a back end said, or its silence shows, that there was too much load.
+    /// Whether the request was shed or timed out because of overload.
     pub overloaded: bool,
 }
 
+/// Samples of the current window.
 #[derive(Debug, Default)]
 struct Window {
     started: Timestamp,
@@ -94,33 +98,31 @@
     saturated: bool,
 }
 
-/// A limit on concurrency.
+/// Adaptive limit on concurrent requests.
 #[derive(Debug)]
 pub struct AdaptiveLimit {
     parameters: AdaptiveLimitParameters,
     maximum: f64,
-    /// Latency that the service wants.
-    wanted: Duration,
+    target_latency: Duration,
     limit: f64,
     window: Window,
     baseline: SlidingMinimum,
 }
 
 impl AdaptiveLimit {
-    /// A limit that never exceeds `maximum`, for a service that wants its answers within
-    /// `wanted`.
+    /// Creates a limit of at most `maximum` for a service with this target latency.
     pub fn new(
         parameters: AdaptiveLimitParameters,
         maximum: f64,
-        wanted: Duration,
+        target_latency: Duration,
         now: Timestamp,
     ) -> Self {
-        let baseline = SlidingMinimum::new(parameters.baseline_memory / BASELINE_PARTS);
+        let baseline = SlidingMinimum::new(parameters.baseline_memory / BASELINE_BUCKETS);
         Self {
             limit: parameters.initial.min(maximum),
             parameters,
             maximum,
-            wanted,
+            target_latency,
             window: Window {
                 started: now,
                 ..Window::default()
@@ -129,24 +131,24 @@
         }
     }
 
-    /// Changes the most that the limit may reach, and the latency that is acceptable.
-    pub fn reconfigure(&mut self, maximum: f64, wanted: Duration) {
+    /// Sets the maximum limit and the target latency.
+    pub fn reconfigure(&mut self, maximum: f64, target_latency: Duration) {
         self.maximum = maximum;
-        self.wanted = wanted;
+        self.target_latency = target_latency;
         self.limit = self.limit.min(maximum);
     }
 
-    /// The limit now; below one, starts are paced.
+    /// Current limit; below one, starts are paced.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Requests that may run at once.
+    /// Requests that may run concurrently, at least one.
     pub fn concurrency(&self) -> u32 {
         self.limit.max(1.0) as u32
     }
 
-    /// Time between two starts where the limit is below one.
+    /// Minimum interval between two starts; zero unless the limit is below one.
     pub fn pacing_gap(&self, expected_latency: Duration) -> Duration {
         if self.limit >= 1.0 {
             return Duration::ZERO;
@@ -154,13 +156,13 @@
         expected_latency.div_f64(self.limit)
     }
 
-    /// The limit held something back.
-    pub fn saturated(&mut self) {
+    /// Records that the limit held back a request in this window.
+    pub fn mark_saturated(&mut self) {
         self.window.saturated = true;
     }
 
-    /// Takes a finished request. True where the limit was lowered.
-    pub fn finished(&mut self, now: Timestamp, sample: LimitSample) -> bool {
+    /// Records a finished request. Returns whether the limit was lowered.
+    pub fn record(&mut self, now: Timestamp, sample: LimitSample) -> bool {
         self.window.finished += 1;
         self.window.overloaded += u32::from(sample.overloaded);
         if let Some(latency) = sample.latency
@@ -170,15 +172,16 @@
             self.window.latencies_us.push(micros);
         }
         let age = now.since(self.window.started);
-        let enough = self.window.finished >= self.parameters.window_samples
+        let complete = self.window.finished >= self.parameters.window_samples
             || self.window.overloaded > 0
             || age >= self.parameters.longest_window;
-        if age < self.parameters.window || !enough {
+        if age < self.parameters.window || !complete {
             return false;
         }
         self.close_window(now)
     }
 
+    /// Adjusts the limit and starts the next window. Returns whether the limit was lowered.
     fn close_window(&mut self, now: Timestamp) -> bool {
         let median = median(&mut self.window.latencies_us);
         if let Some(median) = median {
@@ -190,8 +193,8 @@
                 (excess * self.parameters.decrease_gain).min(self.parameters.greatest_decrease);
             self.limit = (self.limit * (1.0 - decrease)).max(self.parameters.minimum);
         } else if self.window.saturated {
-            let raised = self.limit + self.parameters.growth * self.limit.sqrt();
-            self.limit = raised.min(self.maximum);
+            let increased = self.limit + self.parameters.growth * self.limit.sqrt();
+            self.limit = increased.min(self.maximum);
         }
         self.window.latencies_us.clear();
         self.window.finished = 0;
@@ -210,15 +213,15 @@
         }
     }
 
-    /// Part of the median that lies above the target.
+    /// Share of the median that exceeds the target.
     fn latency_excess(&self, median: Option<u32>) -> f64 {
-        let (Some(median), Some(least)) = (median, self.baseline.get()) else {
+        let (Some(median), Some(baseline)) = (median, self.baseline.get()) else {
             return 0.0;
         };
         let allowance = self.parameters.allowance.as_micros() as f64;
-        let usual = f64::from(least) * self.parameters.tolerance + allowance;
-        let wanted = self.wanted.as_micros() as f64 * self.parameters.target_share;
-        let target = usual.max(wanted);
+        let from_baseline = f64::from(baseline) * self.parameters.tolerance + allowance;
+        let from_target = self.target_latency.as_micros() as f64 * self.parameters.target_share;
+        let target = from_baseline.max(from_target);
         let median = f64::from(median);
         ((median - target) / median.max(1.0)).max(0.0)
     }
@@ -232,31 +235,32 @@
     Some(*values.select_nth_unstable(middle).1)
 }
 
-/// Least value of the last few parts of time.
+/// Minimum over a sliding window, kept in time buckets.
 #[derive(Debug)]
 struct SlidingMinimum {
-    part: Duration,
+    bucket_length: Duration,
     minima: VecDeque<u32>,
-    part_started: Timestamp,
+    bucket_started: Timestamp,
 }
 
 impl SlidingMinimum {
-    fn new(part: Duration) -> Self {
+    fn new(bucket_length: Duration) -> Self {
         Self {
-            part: part.max(Duration::from_millis(1)),
-            minima: VecDeque::with_capacity(BASELINE_PARTS as usize),
-            part_started: Timestamp::ZERO,
+            bucket_length: bucket_length.max(Duration::from_millis(1)),
+            minima: VecDeque::with_capacity(BASELINE_BUCKETS as usize),
+            bucket_started: Timestamp::ZERO,
         }
     }
 
     fn add(&mut self, now: Timestamp, value: u32) {
-        let started_part = self.minima.is_empty() || now.since(self.part_started) >= self.part;
-        if started_part {
-            if self.minima.len() == BASELINE_PARTS as usize {
+        let starts_bucket =
+            self.minima.is_empty() || now.since(self.bucket_started) >= self.bucket_length;
+        if starts_bucket {
+            if self.minima.len() == BASELINE_BUCKETS as usize {
                 self.minima.pop_front();
             }
             self.minima.push_back(value);
-            self.part_started = now;
+            self.bucket_started = now;
         } else if let Some(last) = self.minima.back_mut() {
             *last = (*last).min(value);
         }
--- a/crates/thornbridge-core/src/limits/extra_load.rs
+++ b/crates/thornbridge-core/src/limits/extra_load.rs
@@ -1,31 +1,31 @@
-//! One budget per service for every attempt beyond the first: hedges and retries alike.
+//! Per-service budget of extra attempts: hedges and retries.
 //!
-//! Each first attempt earns a fixed share of a token, each extra attempt costs a whole one.
-//! So extra attempts never exceed that share of first attempts by more than the few tokens that
-//! a budget begins with.
-//! Compare J. Dean and L. A. Barroso, "The Tail at Scale", CACM 2013 (hedges within 5%), and
-//! retry budgets as in "Addressing Cascading Failures", Site Reliability Engineering, 2016.
+//! A token bucket: each first attempt earns a fixed share of a token, each extra attempt costs one
+//! token. Extra attempts therefore never exceed that share of the first attempts plus the initial
+//! tokens.
+//!
+//! References: J. Dean and L. A. Barroso, "The Tail at Scale", CACM 2013 (hedges); "Addressing
+//! Cascading Failures", Site Reliability Engineering, 2016 (retry budgets).
 
 use serde::{Deserialize, Serialize};
 
-/// Parts of one token; a share is kept in these, so that no rounding error gathers.
-const TOKEN_PARTS: u64 = 1_000_000;
+/// Tokens are counted in integer millionths, so that rounding errors do not accumulate.
+const MICROTOKENS_PER_TOKEN: u64 = 1_000_000;
 
-/// Tunable values.
+/// Parameters of the extra-load budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ExtraLoadParameters {
-    /// Tokens before the first attempt. A node that has just started, or sees a few queries a
-    /// second, would else have none when its first replica fails, and wait for the deadline
-    /// beside a healthy one.
+    /// Initial tokens. Lets a node that just started, or has little traffic, retry at once when a
+    /// replica fails.
     pub initial_tokens: u32,
-    /// Most tokens saved up. Enough for a burst of hedges over a whole large query, too few to
-    /// double the load of a service for a noticeable time after a quiet spell.
+    /// Capacity of the bucket, in tokens. Covers the hedges of one large query without allowing a
+    /// long burst of extra load after an idle period.
     pub maximum_tokens: u32,
-    /// Share of recent replies that shed, above which no extra attempt is made at all: the back
-    /// ends are overloaded, and more attempts would keep them so.
+    /// Share of shed replies above which all extra attempts are denied, since they would prolong
+    /// the overload.
     pub shed_share_ceiling: f64,
-    /// Replies over which the share of sheds is averaged.
+    /// Replies over which the share of shed replies is averaged.
     pub shed_memory_replies: f64,
 }
 
@@ -40,12 +40,12 @@
     }
 }
 
-/// What an extra attempt is for.
+/// Kind of extra attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExtraAttempt {
-    /// The first attempt is slow.
+    /// Sent because the first attempt is slow.
     Hedge,
-    /// The first attempt failed, shed, or was not answered usefully.
+    /// Sent because the first attempt failed, was shed, or had no usable reply.
     Retry,
 }
 
@@ -58,11 +58,11 @@
     pub hedges: u64,
     /// Retries allowed.
     pub retries: u64,
-    /// Attempts made in place of one that never left; these are no extra load.
+    /// Attempts that replaced one that was never sent; not extra load.
     pub replacements: u64,
-    /// Hedges and retries denied: no token.
+    /// Hedges and retries denied for lack of tokens.
     pub denied_no_token: u64,
-    /// Hedges and retries denied: the back ends shed too much.
+    /// Hedges and retries denied because too many replies were shed.
     pub denied_shedding: u64,
 }
 
@@ -78,92 +78,94 @@
     }
 }
 
-/// Budget of extra attempts of one service.
+/// Budget of extra attempts of a service.
 #[derive(Debug)]
 pub struct ExtraLoadBudget {
     parameters: ExtraLoadParameters,
-    share_parts: u64,
-    token_parts: u64,
+    earned_microtokens: u64,
+    available_microtokens: u64,
     shed_share: f64,
     counters: ExtraLoadCounters,
 }
 
 impl ExtraLoadBudget {
-    /// A budget that earns `share` of a token (0 to 1) with each first attempt.
+    /// Creates a budget that earns `share` of a token (0 to 1) with each first attempt.
     pub fn new(parameters: ExtraLoadParameters, share: f64) -> Self {
         Self {
-            share_parts: parts_of(share),
-            token_parts: initial_parts(&parameters, share),
+            earned_microtokens: microtokens(share),
+            available_microtokens: initial_microtokens(&parameters, share),
             parameters,
             shed_share: 0.0,
             counters: ExtraLoadCounters::default(),
         }
     }
 
-    /// Changes the share, as by a new configuration. What was earned stays.
+    /// Sets the share earned per first attempt. Earned tokens are kept.
     pub fn set_share(&mut self, share: f64) {
-        self.share_parts = parts_of(share);
+        self.earned_microtokens = microtokens(share);
     }
 
-    /// A first attempt is made.
+    /// Counts a first attempt and earns its share of a token.
     pub fn first_attempt(&mut self) {
         self.counters.first_attempts += 1;
-        let most = u64::from(self.parameters.maximum_tokens) * TOKEN_PARTS;
-        self.token_parts = (self.token_parts + self.share_parts).min(most);
+        let maximum = u64::from(self.parameters.maximum_tokens) * MICROTOKENS_PER_TOKEN;
+        self.available_microtokens =
+            (self.available_microtokens + self.earned_microtokens).min(maximum);
     }
 
-    /// An attempt takes the place of one that ended with `NotSent`. As no byte of that one left,
-    /// the number of attempts that reach back ends stays the same, and no token is needed.
+    /// Counts an attempt that replaces one that ended with `NotSent`. No token is needed, since the
+    /// replaced attempt never reached a back end.
     pub fn replace_unsent(&mut self) {
         self.counters.replacements += 1;
     }
 
-    /// Asks for an extra attempt; makes it only where the answer is true.
+    /// Takes a token for an extra attempt. Returns whether the attempt is allowed.
     #[must_use]
-    pub fn try_take(&mut self, extra: ExtraAttempt) -> bool {
+    pub fn try_take(&mut self, kind: ExtraAttempt) -> bool {
         if self.shed_share > self.parameters.shed_share_ceiling {
             self.counters.denied_shedding += 1;
             return false;
         }
-        if self.token_parts < TOKEN_PARTS {
+        if self.available_microtokens < MICROTOKENS_PER_TOKEN {
             self.counters.denied_no_token += 1;
             return false;
         }
-        self.token_parts -= TOKEN_PARTS;
-        match extra {
+        self.available_microtokens -= MICROTOKENS_PER_TOKEN;
+        match kind {
             ExtraAttempt::Hedge => self.counters.hedges += 1,
             ExtraAttempt::Retry => self.counters.retries += 1,
         }
         true
     }
 
-    /// Whether an extra attempt would be allowed now.
+    /// Whether an extra attempt would be allowed.
     pub fn available(&self) -> bool {
-        self.token_parts >= TOKEN_PARTS && self.shed_share <= self.parameters.shed_share_ceiling
+        self.available_microtokens >= MICROTOKENS_PER_TOKEN
+            && self.shed_share <= self.parameters.shed_share_ceiling
     }
 
-    /// A back end replied; `shed` where it refused for being too busy.
+    /// Counts a reply; `shed` if the back end rejected the attempt because of overload.
     pub fn replied(&mut self, shed: bool) {
         let weight = 1.0 / self.parameters.shed_memory_replies.max(1.0);
-        let value = if shed { 1.0 } else { 0.0 };
-        self.shed_share += (value - self.shed_share) * weight;
+        let sample = if shed { 1.0 } else { 0.0 };
+        self.shed_share += (sample - self.shed_share) * weight;
     }
 
-    /// Counters.
+    /// Counters of extra attempts.
     pub fn counters(&self) -> &ExtraLoadCounters {
         &self.counters
     }
 }
 
-fn parts_of(share: f64) -> u64 {
-    // Rounded to a millionth; the nearest below, so that the share is never exceeded.
-    (share.clamp(0.0, 1.0) * TOKEN_PARTS as f64 + 1e-6) as u64
+fn microtokens(share: f64) -> u64 {
+    // Rounds down, so that the share is never exceeded; the epsilon compensates float errors.
+    (share.clamp(0.0, 1.0) * MICROTOKENS_PER_TOKEN as f64 + 1e-6) as u64
 }
 
-/// A service that allows no extra load gets none.
-fn initial_parts(parameters: &ExtraLoadParameters, share: f64) -> u64 {
+/// Initial tokens; none for a service that allows no extra load.
+fn initial_microtokens(parameters: &ExtraLoadParameters, share: f64) -> u64 {
     if share > 0.0 {
-        u64::from(parameters.initial_tokens) * TOKEN_PARTS
+        u64::from(parameters.initial_tokens) * MICROTOKENS_PER_TOKEN
     } else {
         0
     }
--- a/crates/thornbridge-core/src/limits/mod.rs
+++ b/crates/thornbridge-core/src/limits/mod.rs
@@ -1,8 +1,8 @@
-//! Limits on work: admission of callers' requests, and the budget of extra attempts.
+//! Admission control of callers' requests, and the budget of extra attempts.
 //!
-//! [`Limits::admit`] runs a request, queues it or refuses it. Whoever runs a request tells
-//! [`Limits::finished`]; what may run next, and what waited too long, comes back as a
-//! [`Release`]. Nothing here sends or answers: the query and action engines do.
+//! [`Limits::admit`] admits, queues or refuses a request. The end of an admitted request is
+//! reported to [`Limits::finished`]. Queued requests that may now run, or that expired, are
+//! returned as a [`Release`]. The query and action engines send and answer.
 
 mod concurrency;
 mod extra_load;
@@ -17,7 +17,7 @@
 use crate::configuration::InForce;
 use crate::context::Context;
 use crate::time::Timestamp;
-use queue::Waiting;
+use queue::QueuedRequest;
 use serde::{Deserialize, Serialize};
 use service::ServiceAdmission;
 use std::collections::BTreeMap;
@@ -25,23 +25,22 @@
 use thornbridge_proto::caller::RefusalReason;
 use thornbridge_proto::{RequestId, ServiceName};
 
-/// Tunable values.
+/// Parameters of admission control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LimitParameters {
-    /// Order in which waiting requests of one priority run.
+    /// Order in which queued requests of equal priority run.
     pub queue_order: QueueOrder,
-    /// Most requests of all services that run at once on one node. Bounds the node's memory;
-    /// the services' own limits are reached first unless many are overloaded together.
+    /// Maximum concurrent requests of all services on one node; bounds the node's memory.
     pub node_concurrency: u32,
-    /// Longest predicted wait of a request that is queued, as a share of the time it can spare.
-    /// Under lasting overload the queue is always as long as it is allowed to be; a queue that
-    /// used up all the time would make each answer late as soon as a prediction is a little off.
+    /// Longest predicted wait of a queued request, as a share of the time until its latest start.
+    /// Below one, so that a prediction that is slightly too low does not make every answer late
+    /// under lasting overload.
     pub longest_wait_share: f64,
-    /// A waiting request is given up once less than this share of its predicted time is left:
-    /// what would start later than that ends without an answer and only loads back ends.
+    /// Share of the predicted run time that must be left when a queued request starts. With less,
+    /// the request expires, since it would load back ends without an answer in time.
     pub least_useful_share: f64,
-    /// Adaptive concurrency of each service.
+    /// Adaptive concurrency limit of each service.
     pub concurrency: AdaptiveLimitParameters,
     /// Budget of extra attempts of each service.
     pub extra_load: ExtraLoadParameters,
@@ -60,108 +59,109 @@
     }
 }
 
-/// Counters.
+/// Counters of admission control.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitCounters {
-    /// Requests that ran at once.
+    /// Requests admitted without queueing.
     pub admitted: u64,
-    /// Requests that waited first.
+    /// Requests queued.
     pub queued: u64,
-    /// Waiting requests that came to run.
+    /// Queued requests that were then admitted.
     pub released: u64,
-    /// Requests refused on arrival: the queue was full.
+    /// Requests refused on arrival because the queue was full.
     pub refused_queue_full: u64,
-    /// Requests refused on arrival: the predicted wait exceeds the time left.
+    /// Requests refused on arrival because the predicted wait was too long.
     pub refused_predicted_wait: u64,
-    /// Requests refused after waiting: too little time was left.
+    /// Requests that expired in the queue.
     pub expired_in_queue: u64,
-    /// Waiting requests whose caller went away.
+    /// Queued requests whose caller disconnected.
     pub withdrawn: u64,
-    /// Times that a service's limit was lowered.
+    /// Decreases of a service's limit.
     pub limit_lowered: u64,
-    /// Extra attempts and what was denied, over all services.
+    /// Extra attempts, allowed and denied, over all services.
     pub extra_load: ExtraLoadCounters,
 }
 
-/// A request that asks to run.
+/// Request for admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Its service.
+    /// Service name.
     pub service: &'a ServiceName,
-    /// Its identity.
+    /// Request id.
     pub request: RequestId,
-    /// When its answer is worth nothing any more.
+    /// Deadline of the answer.
     pub deadline: Timestamp,
-    /// Time it is expected to run; the service's usual time where absent.
+    /// Predicted run time; defaults to the service's expected latency.
     pub predicted: Option<Duration>,
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Run it now, then call [`Limits::finished`].
+    /// The request runs now; call [`Limits::finished`] when it ends.
     Run,
-    /// It waits; it comes back in a [`Release`], unless [`Limits::withdraw`] is called.
+    /// The request is queued, until a [`Release`] returns it or [`Limits::withdraw`] removes it.
     Queued,
-    /// It does not run.
+    /// The request is refused.
     Refuse(AdmissionRefusal),
 }
 
-/// Why a request does not run. It certainly was not run.
+/// Refusal of a request that was never run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// Why.
+    /// Reason sent to the caller.
     pub reason: RefusalReason,
-    /// When a repeat would probably find the queue drained.
+    /// Predicted time until the queue has drained.
     pub retry_after: Duration,
 }
 
-/// Waiting requests whose turn or end has come.
+/// Queued requests to run or refuse.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Release {
-    /// Run these now; each needs a [`Limits::finished`].
+    /// Requests to run now; call [`Limits::finished`] for each.
     pub run: Vec<RequestId>,
-    /// Refuse these now; none was run.
+    /// Requests to refuse now; none was run.
     pub refuse: Vec<(RequestId, AdmissionRefusal)>,
 }
 
 impl Release {
-    /// Whether there is nothing to do.
+    /// Whether no request is to be run or refused.
     pub fn is_empty(&self) -> bool {
         self.run.is_empty() && self.refuse.is_empty()
     }
 
-    /// Adds another release.
+    /// Appends another release.
     pub fn extend(&mut self, other: Self) {
         self.run.extend(other.run);
         self.refuse.extend(other.refuse);
     }
 }
 
-/// How a request that ran ended, for the adaptive limit.
+/// Outcome of an admitted request, input of the adaptive limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestEnd {
-    /// Time from the start of the run to the answer.
+    /// Time from the start to the answer.
     pub latency: Duration,
-    /// Time until half of the shards had answered. Rises with load, and hardly with single
-    /// stragglers. Absent where half did not answer; the whole latency for an action.
+    /// Time until half of the shards had replied; absent if fewer replied. Depends on load, but
+    /// hardly on single stragglers. The total latency for an action.
     pub half_answered: Option<Duration>,
-    /// What its end says of the back ends.
+    /// Load signal for the limit.
     pub signal: LoadSignal,
 }
 
-/// What the end of a request says of the load on the back ends.
+/// Load on the back ends, as inferred from the end of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Nothing unusual.
+    /// No sign of overload.
     Normal,
-    /// A back end shed or let expire a part of it, or fewer than half of the shards answered in time.
+    /// A back end shed an attempt or let it expire, or fewer than half of the shards replied in
+    /// time.
     Overloaded,
-    /// Ended for another reason, as when its caller went away: says nothing.
+    /// No information, such as when the caller disconnected.
     None,
 }
 
-/// Admission and extra-load budgets of one node.
+/// Admission control and extra-load budgets of one node.
 #[derive(Debug)]
 pub struct Limits {
     parameters: LimitParameters,
@@ -172,7 +172,7 @@
 }
 
 impl Limits {
-    /// Limits without services: everything is refused as unknown until [`Self::install`].
+    /// Creates limits without services; requests are refused as unknown until [`Self::install`].
     pub fn new(parameters: LimitParameters) -> Self {
         Self {
             parameters,
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Takes a new configuration. Services keep what they learnt and what waits; those of a
-    /// removed service that wait are refused.
+    /// Installs a configuration. Services keep their limits and queues; queued requests of a removed
+    /// service are refused.
     pub fn install(&mut self, context: &mut Context<'_>, in_force: &InForce) -> Release {
         let mut release = Release::default();
         let removed: Vec<ServiceName> = self
@@ -209,33 +209,33 @@
         release
     }
 
-    /// A request asks to run.
-    pub fn admit(&mut self, context: &Context<'_>, asked: AdmissionRequest<'_>) -> Admission {
+    /// Admits, queues or refuses a request.
+    pub fn admit(&mut self, context: &Context<'_>, request: AdmissionRequest<'_>) -> Admission {
         let now = context.now;
         let node_full = self.running >= self.parameters.node_concurrency;
-        let Some(service) = self.services.get_mut(asked.service) else {
+        let Some(service) = self.services.get_mut(request.service) else {
             return Admission::Refuse(AdmissionRefusal {
                 reason: RefusalReason::UnknownService,
                 retry_after: Duration::ZERO,
             });
         };
-        if !node_full && !service.retired() && service.may_start_directly(now) {
+        if !node_full && !service.retired() && service.may_start_immediately(now) {
             service.start(now);
             self.running += 1;
             self.counters.admitted += 1;
             return Admission::Run;
         }
-        if let Err(refusal) = service.room_for(now, &asked, &mut self.counters) {
+        if let Err(refusal) = service.check_queue_admission(now, &request, &mut self.counters) {
             return Admission::Refuse(refusal);
         }
         self.last_arrival += 1;
         let least_useful = self.parameters.least_useful_share;
-        service.enqueue(now, &asked, self.last_arrival, least_useful);
+        service.enqueue(now, &request, self.last_arrival, least_useful);
         self.counters.queued += 1;
         Admission::Queued
     }
 
-    /// A request that ran has ended.
+    /// Records the end of an admitted request and releases queued ones.
     pub fn finished(
         &mut self,
         context: &Context<'_>,
@@ -250,11 +250,11 @@
         }
         let mut release = Release::default();
         self.release(context.now, &mut release);
-        self.forget_retired();
+        self.remove_retired();
         release
     }
 
-    /// A waiting request is no longer wanted. True where it was waiting.
+    /// Removes a request from the queue. Returns whether it was queued.
     pub fn withdraw(&mut self, service: &ServiceName, request: RequestId) -> bool {
         let withdrawn = self
             .services
@@ -266,14 +266,14 @@
         withdrawn
     }
 
-    /// The budget of extra attempts of a service.
+    /// Budget of extra attempts of a service.
     pub fn extra_load(&mut self, service: &ServiceName) -> Option<&mut ExtraLoadBudget> {
         self.services
             .get_mut(service)
             .map(|admission| &mut admission.extra_load)
     }
 
-    /// Counters.
+    /// Counters, including those of removed services.
     pub fn counters(&self) -> LimitCounters {
         let mut counters = self.counters.clone();
         for admission in self.services.values() {
@@ -282,12 +282,12 @@
         counters
     }
 
-    /// One service's limits as they are now.
+    /// Current limits of a service.
     pub fn status(&self, service: &ServiceName) -> Option<ServiceLimitStatus> {
         self.services.get(service).map(ServiceAdmission::status)
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.services
             .values()
@@ -295,7 +295,7 @@
             .min()
     }
 
-    /// Refuses what waited too long and starts what is paced.
+    /// Refuses expired requests and releases those held back by pacing.
     pub fn timer_due(&mut self, context: &Context<'_>) -> Release {
         let mut release = Release::default();
         self.release(context.now, &mut release);
@@ -307,20 +307,20 @@
             admission.expire(now, &mut self.counters, &mut release.refuse);
         }
         while self.running < self.parameters.node_concurrency {
-            let Some(waiting) = self.take_next(now) else {
+            let Some(queued) = self.take_next(now) else {
                 break;
             };
             self.running += 1;
             self.counters.released += 1;
-            release.run.push(waiting.request);
+            release.run.push(queued.request);
         }
         for admission in self.services.values_mut() {
-            admission.set_pace_timer(now);
+            admission.update_pacing_timer(now);
         }
     }
 
-    /// The first of the waiting requests that may start: by priority, then by queue order.
-    fn take_next(&mut self, now: Timestamp) -> Option<Waiting> {
+    /// Dequeues the next request that may start, by priority, then by queue order.
+    fn take_next(&mut self, now: Timestamp) -> Option<QueuedRequest> {
         let best = self
             .services
             .values_mut()
@@ -328,19 +328,19 @@
             .filter_map(|admission| admission.head().map(|head| (head, admission)))
             .min_by_key(|(head, admission)| (std::cmp::Reverse(admission.priority()), *head));
         let (_, admission) = best?;
-        let waiting = admission.dequeue()?;
+        let queued = admission.dequeue()?;
         admission.start(now);
-        Some(waiting)
+        Some(queued)
     }
 
     fn retire(&mut self, name: &ServiceName, release: &mut Release) {
         if let Some(admission) = self.services.get_mut(name) {
             admission.retire(&mut release.refuse);
         }
-        self.forget_retired();
+        self.remove_retired();
     }
 
-    fn forget_retired(&mut self) {
+    fn remove_retired(&mut self) {
         let total = &mut self.counters.extra_load;
         self.services.retain(|_, admission| {
             let keep = !admission.retired() || admission.in_flight() > 0;
--- a/crates/thornbridge-core/src/limits/queue.rs
+++ b/crates/thornbridge-core/src/limits/queue.rs
@@ -1,4 +1,6 @@
-//! The queue of one service: ordered, bounded by its owner, and searchable by deadline.
+//! Admission queue of one service, ordered by [`QueueOrder`] and indexed by expiry.
+//!
+//! The owner bounds the queue's length.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -6,48 +8,46 @@
 use std::time::Duration;
 use thornbridge_proto::RequestId;
 
-/// Order in which waiting requests of one priority run.
+/// Order in which queued requests of equal priority run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum QueueOrder {
-    /// In order of arrival.
+    /// First come, first served.
     FirstCome,
-    /// The one whose deadline is nearest. Liu and Layland, "Scheduling Algorithms for
+    /// Earliest deadline first. C. L. Liu and J. W. Layland, "Scheduling Algorithms for
     /// Multiprogramming in a Hard-Real-Time Environment", JACM 1973.
     #[default]
     EarliestDeadline,
-    /// The one that is predicted to end first, as in the admission queue of hugpy-wrapper. A
-    /// request with nothing to spare is not passed: it expires, or its deadline is its key.
+    /// Shortest predicted run time first. Long requests may starve until they expire.
     ShortestPredictedTime,
 }
 
-/// Position in the queue: lower runs first.
+/// Sort key in the queue; lower runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
-    order: Duration,
+    rank: Duration,
     arrival: u64,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Waiting {
-    /// The request.
+pub(super) struct QueuedRequest {
     pub request: RequestId,
-    /// When it is given up: later than this, no useful answer comes of it.
+    /// Latest start that can still give a useful answer; the request expires then.
     pub latest_start: Timestamp,
-    /// When its answer is worth nothing any more.
+    /// Deadline of the answer.
     pub deadline: Timestamp,
-    /// Time it is predicted to run.
+    /// Predicted run time.
     pub predicted: Duration,
-    /// Order of arrival over all services.
+    /// Arrival number, increasing over all services.
     pub arrival: u64,
 }
 
-/// Waiting requests of one service.
+/// Queued requests of one service.
 #[derive(Debug)]
 pub(super) struct RequestQueue {
     order: QueueOrder,
-    waiting: BTreeMap<QueueKey, Waiting>,
+    requests: BTreeMap<QueueKey, QueuedRequest>,
     keys: BTreeMap<RequestId, QueueKey>,
     latest_starts: BTreeSet<(Timestamp, QueueKey)>,
 }
@@ -56,42 +56,42 @@
     pub(super) fn new(order: QueueOrder) -> Self {
         Self {
             order,
-            waiting: BTreeMap::new(),
+            requests: BTreeMap::new(),
             keys: BTreeMap::new(),
             latest_starts: BTreeSet::new(),
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.requests.is_empty()
     }
 
-    /// How many would run before this one.
-    pub(super) fn ahead_of(&self, waiting: &Waiting) -> usize {
-        let key = self.key_of(waiting);
+    /// Number of queued requests that would run before `queued`.
+    pub(super) fn count_ahead_of(&self, queued: &QueuedRequest) -> usize {
+        let key = self.key_of(queued);
         match self.order {
-            QueueOrder::FirstCome => self.waiting.len(),
-            _ => self.waiting.range(..key).count(),
+            QueueOrder::FirstCome => self.requests.len(),
+            _ => self.requests.range(..key).count(),
         }
     }
 
-    pub(super) fn push(&mut self, waiting: Waiting) {
-        let key = self.key_of(&waiting);
-        self.keys.insert(waiting.request, key);
-        self.latest_starts.insert((waiting.latest_start, key));
-        self.waiting.insert(key, waiting);
+    pub(super) fn push(&mut self, queued: QueuedRequest) {
+        let key = self.key_of(&queued);
+        self.keys.insert(queued.request, key);
+        self.latest_starts.insert((queued.latest_start, key));
+        self.requests.insert(key, queued);
     }
 
-    /// Key of the first.
+    /// Key of the next request to run.
     pub(super) fn head(&self) -> Option<QueueKey> {
-        self.waiting.keys().next().copied()
+        self.requests.keys().next().copied()
     }
 
-    pub(super) fn pop(&mut self) -> Option<Waiting> {
+    pub(super) fn pop(&mut self) -> Option<QueuedRequest> {
         let key = self.head()?;
         self.take(key)
     }
@@ -101,13 +101,13 @@
         key.and_then(|key| self.take(key)).is_some()
     }
 
-    /// When the next one is given up.
+    /// Earliest expiry of a queued request.
     pub(super) fn next_expiry(&self) -> Option<Timestamp> {
         self.latest_starts.first().map(|(time, _)| *time)
     }
 
-    /// Takes out one that can no longer be served.
-    pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<Waiting> {
+    /// Removes a request that has expired, if any.
+    pub(super) fn pop_expired(&mut self, now: Timestamp) -> Option<QueuedRequest> {
         let (time, key) = *self.latest_starts.first()?;
         if time > now {
             return None;
@@ -115,22 +115,22 @@
         self.take(key)
     }
 
-    fn take(&mut self, key: QueueKey) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&key)?;
-        self.keys.remove(&waiting.request);
-        self.latest_starts.remove(&(waiting.latest_start, key));
-        Some(waiting)
+    fn take(&mut self, key: QueueKey) -> Option<QueuedRequest> {
+        let queued = self.requests.remove(&key)?;
+        self.keys.remove(&queued.request);
+        self.latest_starts.remove(&(queued.latest_start, key));
+        Some(queued)
     }
 
-    fn key_of(&self, waiting: &Waiting) -> QueueKey {
-        let order = match self.order {
+    fn key_of(&self, queued: &QueuedRequest) -> QueueKey {
+        let rank = match self.order {
             QueueOrder::FirstCome => Duration::ZERO,
-            QueueOrder::EarliestDeadline => waiting.deadline.since_epoch(),
-            QueueOrder::ShortestPredictedTime => waiting.predicted,
+            QueueOrder::EarliestDeadline => queued.deadline.since_epoch(),
+            QueueOrder::ShortestPredictedTime => queued.predicted,
         };
         QueueKey {
-            order,
-            arrival: waiting.arrival,
+            rank,
+            arrival: queued.arrival,
         }
     }
 }
--- a/crates/thornbridge-core/src/limits/service.rs
+++ b/crates/thornbridge-core/src/limits/service.rs
@@ -1,8 +1,8 @@
-//! Admission to one service: its adaptive limit, its queue, its budget of extra attempts.
+//! Admission to one service: adaptive limit, queue, and budget of extra attempts.
 
 use super::concurrency::{AdaptiveLimit, LimitSample};
 use super::extra_load::ExtraLoadBudget;
-use super::queue::{QueueKey, RequestQueue, Waiting};
+use super::queue::{QueueKey, QueuedRequest, RequestQueue};
 use super::{
     AdmissionRefusal, AdmissionRequest, LimitCounters, LimitParameters, LoadSignal, RequestEnd,
 };
@@ -12,21 +12,21 @@
 use thornbridge_proto::RequestId;
 use thornbridge_proto::caller::RefusalReason;
 
-/// Weight of a new latency in the running average.
-const LATENCY_WEIGHT: f64 = 0.05;
-/// Least time told to a refused caller: an immediate repeat would find the same queue.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(10);
+/// Weight of a new sample in the moving average of the latency.
+const LATENCY_EWMA_WEIGHT: f64 = 0.05;
+/// Lower bound of `retry_after`; an immediate retry would find the same queue.
+const MINIMUM_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// One service's limits as they are now.
+/// Current limits of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceLimitStatus {
     /// Requests running.
     pub in_flight: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued: u32,
-    /// Requests that may run at once; below one, starts are paced.
+    /// Current concurrency limit; below one, starts are paced.
     pub limit: f64,
-    /// Usual time that a request runs.
+    /// Moving average of the latency.
     pub expected_latency: Duration,
 }
 
@@ -41,16 +41,15 @@
     in_flight: u32,
     expected_latency: Duration,
     next_start: Timestamp,
-    pace_timer: Option<Timestamp>,
+    pacing_timer: Option<Timestamp>,
     retired: bool,
-    /// Budget of extra attempts.
     pub(super) extra_load: ExtraLoadBudget,
 }
 
 impl ServiceAdmission {
     pub(super) fn new(parameters: &LimitParameters, service: &Service, now: Timestamp) -> Self {
         let maximum = f64::from(service.limits.maximum_in_flight);
-        let budget = parameters.extra_load.clone();
+        let extra_load = parameters.extra_load.clone();
         Self {
             priority: service.priority,
             maximum_queued: service.limits.maximum_queued as usize,
@@ -66,9 +65,9 @@
             in_flight: 0,
             expected_latency: service.completeness.target / 2,
             next_start: Timestamp::ZERO,
-            pace_timer: None,
+            pacing_timer: None,
             retired: false,
-            extra_load: ExtraLoadBudget::new(budget, service.limits.extra_load),
+            extra_load: ExtraLoadBudget::new(extra_load, service.limits.extra_load),
         }
     }
 
@@ -107,8 +106,8 @@
         self.in_flight < self.limit.concurrency() && now >= self.next_start
     }
 
-    /// A new request passes nobody who waits.
-    pub(super) fn may_start_directly(&self, now: Timestamp) -> bool {
+    /// Whether a new request may start without overtaking queued ones.
+    pub(super) fn may_start_immediately(&self, now: Timestamp) -> bool {
         self.queue.is_empty() && self.may_start(now)
     }
 
@@ -117,28 +116,28 @@
         self.next_start = now + self.limit.pacing_gap(self.expected_latency);
     }
 
-    /// Whether a request that cannot run at once can wait with a use.
-    pub(super) fn room_for(
+    /// Whether a request that cannot start immediately may be queued.
+    pub(super) fn check_queue_admission(
         &mut self,
         now: Timestamp,
-        asked: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         counters: &mut LimitCounters,
     ) -> Result<(), AdmissionRefusal> {
-        self.limit.saturated();
+        self.limit.mark_saturated();
         if self.retired || self.queue.len() >= self.maximum_queued {
             counters.refused_queue_full += 1;
-            return Err(self.overloaded(now));
+            return Err(self.overload_refusal(now));
         }
-        // It is the last of its like, so it comes behind all that have the same key.
-        let waiting = self.waiting(now, asked, u64::MAX, 1.0);
-        let ahead = self.queue.ahead_of(&waiting);
-        let longest = waiting
+        // The highest arrival number sorts the request behind all others of equal rank.
+        let queued = self.queued_request(now, request, u64::MAX, 1.0);
+        let ahead = self.queue.count_ahead_of(&queued);
+        let longest_wait = queued
             .latest_start
             .since(now)
             .mul_f64(self.longest_wait_share);
-        if self.predicted_wait(now, ahead) > longest.min(self.longest_wait) {
+        if self.predicted_wait(now, ahead) > longest_wait.min(self.longest_wait) {
             counters.refused_predicted_wait += 1;
-            return Err(self.overloaded(now));
+            return Err(self.overload_refusal(now));
         }
         Ok(())
     }
@@ -146,20 +145,20 @@
     pub(super) fn enqueue(
         &mut self,
         now: Timestamp,
-        asked: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         arrival: u64,
         least_useful_share: f64,
     ) {
-        let waiting = self.waiting(now, asked, arrival, least_useful_share);
-        self.queue.push(waiting);
-        self.set_pace_timer(now);
+        let queued = self.queued_request(now, request, arrival, least_useful_share);
+        self.queue.push(queued);
+        self.update_pacing_timer(now);
     }
 
     pub(super) fn head(&self) -> Option<QueueKey> {
         self.queue.head()
     }
 
-    pub(super) fn dequeue(&mut self) -> Option<Waiting> {
+    pub(super) fn dequeue(&mut self) -> Option<QueuedRequest> {
         self.queue.pop()
     }
 
@@ -167,106 +166,106 @@
         self.queue.remove(request)
     }
 
-    /// A request ended. True where the limit was lowered.
+    /// Records the end of a request. Returns whether the limit was lowered.
     pub(super) fn finished(&mut self, now: Timestamp, end: RequestEnd) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         if end.signal == LoadSignal::None {
             return false;
         }
         let old = self.expected_latency.as_secs_f64();
-        let new = old + (end.latency.as_secs_f64() - old) * LATENCY_WEIGHT;
+        let new = old + (end.latency.as_secs_f64() - old) * LATENCY_EWMA_WEIGHT;
         self.expected_latency = Duration::from_secs_f64(new);
         let sample = LimitSample {
             latency: end.half_answered,
             overloaded: end.signal == LoadSignal::Overloaded,
         };
-        self.limit.finished(now, sample)
+        self.limit.record(now, sample)
     }
 
-    /// Moves those that can no longer be served to `refused`.
+    /// Moves expired requests to `refused`.
     pub(super) fn expire(
         &mut self,
         now: Timestamp,
         counters: &mut LimitCounters,
         refused: &mut Vec<(RequestId, AdmissionRefusal)>,
     ) {
-        while let Some(waiting) = self.queue.pop_expired(now) {
+        while let Some(expired) = self.queue.pop_expired(now) {
             counters.expired_in_queue += 1;
-            refused.push((waiting.request, self.overloaded(now)));
+            refused.push((expired.request, self.overload_refusal(now)));
         }
     }
 
-    /// The service is gone from the configuration: what waits is refused.
+    /// Refuses all queued requests of a service that was removed from the configuration.
     pub(super) fn retire(&mut self, refused: &mut Vec<(RequestId, AdmissionRefusal)>) {
         self.retired = true;
-        while let Some(waiting) = self.queue.pop() {
+        while let Some(queued) = self.queue.pop() {
             let refusal = AdmissionRefusal {
                 reason: RefusalReason::UnknownService,
                 retry_after: Duration::ZERO,
             };
-            refused.push((waiting.request, refusal));
+            refused.push((queued.request, refusal));
         }
     }
 
-    /// Asks for a timer where only the pace holds the queue back.
-    pub(super) fn set_pace_timer(&mut self, now: Timestamp) {
+    /// Sets a timer while only pacing holds the queue back.
+    pub(super) fn update_pacing_timer(&mut self, now: Timestamp) {
         let paced = self.in_flight < self.limit.concurrency() && now < self.next_start;
-        self.pace_timer = (paced && !self.queue.is_empty()).then_some(self.next_start);
+        self.pacing_timer = (paced && !self.queue.is_empty()).then_some(self.next_start);
     }
 
     /// The next expiry or paced start.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        let timeouts = [self.queue.next_expiry(), self.pace_timer];
+        let timeouts = [self.queue.next_expiry(), self.pacing_timer];
         timeouts.into_iter().flatten().min()
     }
 
-    /// Time until the request behind `ahead` waiting ones starts, by Little's law.
+    /// Time until the request behind `ahead` queued ones starts, by Little's law.
     fn predicted_wait(&self, now: Timestamp, ahead: usize) -> Duration {
-        let at_own_limit = self.in_flight >= self.limit.concurrency();
-        let parallel = if at_own_limit || self.limit.limit() < 1.0 {
+        let at_service_limit = self.in_flight >= self.limit.concurrency();
+        let concurrency = if at_service_limit || self.limit.limit() < 1.0 {
             self.limit.limit()
         } else {
-            // The node's limit holds it back: it drains as fast as it runs now.
+            // Only the node's limit holds the queue back, so it drains at the present concurrency.
             f64::from(self.in_flight.max(1))
         };
-        let interval = self.expected_latency.div_f64(parallel);
+        let interval = self.expected_latency.div_f64(concurrency);
         let paced = self.next_start.since(now);
-        if paced > Duration::ZERO && !at_own_limit {
+        if paced > Duration::ZERO && !at_service_limit {
             return paced + interval.mul_f64(ahead as f64);
         }
         interval.mul_f64(ahead as f64 + 1.0)
     }
 
-    fn overloaded(&self, now: Timestamp) -> AdmissionRefusal {
-        let drained = self.predicted_wait(now, self.queue.len());
+    fn overload_refusal(&self, now: Timestamp) -> AdmissionRefusal {
+        let drain_time = self.predicted_wait(now, self.queue.len());
         AdmissionRefusal {
             reason: RefusalReason::Overloaded,
-            retry_after: drained.max(LEAST_RETRY_AFTER),
+            retry_after: drain_time.max(MINIMUM_RETRY_AFTER),
         }
     }
 
-    fn waiting(
+    fn queued_request(
         &self,
         now: Timestamp,
-        asked: &AdmissionRequest<'_>,
+        request: &AdmissionRequest<'_>,
         arrival: u64,
         least_useful_share: f64,
-    ) -> Waiting {
-        let predicted = asked.predicted.unwrap_or(self.expected_latency);
-        let time_left = asked.deadline.since(now);
-        // A prediction above half of the time is not held against a request that just came.
+    ) -> QueuedRequest {
+        let predicted = request.predicted.unwrap_or(self.expected_latency);
+        let time_left = request.deadline.since(now);
+        // At most half of the time left, so that a long prediction does not expire a new request.
         let needed = predicted.mul_f64(least_useful_share).min(time_left / 2);
-        Waiting {
-            request: asked.request,
-            latest_start: asked.deadline - needed,
-            deadline: asked.deadline,
+        QueuedRequest {
+            request: request.request,
+            latest_start: request.deadline - needed,
+            deadline: request.deadline,
             predicted,
             arrival,
         }
     }
 }
 
-/// Where latency goes first, an answer that waited longer than its target is worth little.
+/// Longest wait in the queue: the target latency under the latency-first policy, else unbounded.
 fn longest_wait(service: &Service) -> Duration {
     match service.completeness.policy {
         CompletenessPolicy::LatencyFirst => service.completeness.target,
--- a/crates/thornbridge-core/src/limits/tests/admission.rs
+++ b/crates/thornbridge-core/src/limits/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Random requests against books kept by hand.
+//! Random admission requests, checked against a model that tracks each request.
 
 use crate::configuration::InForce;
 use crate::limits::*;
@@ -16,7 +16,7 @@
 use thornbridge_proto::peer::configuration::GenerationRecord;
 use thornbridge_proto::{ChangeId, Generation, NodeId};
 
-/// A service of each priority.
+/// One service per priority, lowest first.
 pub const SERVICES: [&str; 3] = ["low", "middle", "high"];
 
 pub fn bundle(in_flight: u32, queued: u32) -> Bundle {
@@ -60,7 +60,7 @@
     InForce::new(record, bundle).unwrap()
 }
 
-/// Time and the queues that a context needs.
+/// Clock, random numbers and queues behind a [`Context`].
 pub struct Clock {
     pub now: Timestamp,
     random: Pcg64Mcg,
@@ -109,7 +109,7 @@
     Withdraw {
         which: usize,
     },
-    Pass {
+    Advance {
         micros: u64,
     },
     Reconfigure {
@@ -125,25 +125,27 @@
         4 => (any::<usize>(), 1..50u64, any::<bool>())
             .prop_map(|(which, millis, overloaded)| Step::Finish { which, millis, overloaded }),
         1 => any::<usize>().prop_map(|which| Step::Withdraw { which }),
-        3 => (0..30_000u64).prop_map(|micros| Step::Pass { micros }),
+        3 => (0..30_000u64).prop_map(|micros| Step::Advance { micros }),
         1 => (1..5u32, 0..10u32)
             .prop_map(|(in_flight, queued)| Step::Reconfigure { in_flight, queued }),
     ]
 }
 
-/// Where every request is.
-struct Books {
+/// Limits under test and the expected state of every request.
+struct AdmissionModel {
     limits: Limits,
     clock: Clock,
+    /// Service index of each running request.
     running: BTreeMap<RequestId, usize>,
-    waiting: BTreeMap<RequestId, (usize, Timestamp)>,
+    /// Service index and deadline of each queued request.
+    queued_requests: BTreeMap<RequestId, (usize, Timestamp)>,
     maximum_in_flight: usize,
-    last: u64,
+    last_request: u64,
 }
 
 const NODE_CONCURRENCY: u32 = 6;
 
-impl Books {
+impl AdmissionModel {
     fn new(order: QueueOrder) -> Self {
         let parameters = LimitParameters {
             queue_order: order,
@@ -157,13 +159,13 @@
             limits,
             clock,
             running: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+            queued_requests: BTreeMap::new(),
             maximum_in_flight: 4,
-            last: 0,
+            last_request: 0,
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Arrive { service, deadline } => self.arrive(service, deadline),
             Step::Finish {
@@ -177,14 +179,15 @@
                 }
             }
             Step::Withdraw { which } => {
-                let waiting: Vec<RequestId> = self.waiting.keys().copied().collect();
-                if !waiting.is_empty() {
-                    let request = waiting[which % waiting.len()];
-                    let (service, _) = self.waiting.remove(&request).unwrap();
+                let queued_requests: Vec<RequestId> =
+                    self.queued_requests.keys().copied().collect();
+                if !queued_requests.is_empty() {
+                    let request = queued_requests[which % queued_requests.len()];
+                    let (service, _) = self.queued_requests.remove(&request).unwrap();
                     assert!(self.limits.withdraw(&SERVICES[service].into(), request));
                 }
             }
-            Step::Pass { micros } => self.pass(Duration::from_micros(micros)),
+            Step::Advance { micros } => self.advance(Duration::from_micros(micros)),
             Step::Reconfigure { in_flight, queued } => {
                 self.maximum_in_flight = in_flight as usize;
                 let in_force = in_force(bundle(in_flight, queued));
@@ -196,23 +199,26 @@
     }
 
     fn arrive(&mut self, service: usize, deadline: u64) {
-        self.last += 1;
-        let id = request(self.last);
+        self.last_request += 1;
+        let id = request(self.last_request);
         let deadline = self.clock.now + Duration::from_millis(deadline);
         let name: ServiceName = SERVICES[service].into();
-        let asked = AdmissionRequest {
+        let admission = AdmissionRequest {
             service: &name,
             request: id,
             deadline,
             predicted: None,
         };
-        match self.limits.admit(&self.clock.context(), asked) {
+        match self.limits.admit(&self.clock.context(), admission) {
             Admission::Run => {
-                assert!(!self.waits(service), "passes those that wait");
+                assert!(
+                    !self.has_queued(service),
+                    "a new request overtook queued ones"
+                );
                 self.running.insert(id, service);
             }
             Admission::Queued => {
-                self.waiting.insert(id, (service, deadline));
+                self.queued_requests.insert(id, (service, deadline));
             }
             Admission::Refuse(refusal) => {
                 assert_eq!(refusal.reason, RefusalReason::Overloaded);
@@ -240,17 +246,23 @@
 
     fn released(&mut self, release: Release) {
         for request in release.run {
-            let (service, deadline) = self.waiting.remove(&request).expect("waited");
-            assert!(deadline >= self.clock.now, "runs although its time is over");
+            let (service, deadline) = self
+                .queued_requests
+                .remove(&request)
+                .expect("only queued requests are released");
+            assert!(deadline >= self.clock.now, "released after its deadline");
             self.running.insert(request, service);
             assert!(self.in_flight(service) <= self.maximum_in_flight);
         }
         for (request, _) in release.refuse {
-            assert!(self.waiting.remove(&request).is_some(), "waited");
+            assert!(
+                self.queued_requests.remove(&request).is_some(),
+                "only queued requests are refused in a release"
+            );
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.clock.now + time;
         let mut calls = 0;
         while let Some(due) = self.limits.next_timeout().filter(|due| *due <= end) {
@@ -258,13 +270,15 @@
             let release = self.limits.timer_due(&self.clock.context());
             self.released(release);
             calls += 1;
-            assert!(calls < 10_000, "a timer that is never done");
+            assert!(calls < 10_000, "the timer does not make progress");
         }
         self.clock.now = end;
     }
 
-    fn waits(&self, service: usize) -> bool {
-        self.waiting.values().any(|(other, _)| *other == service)
+    fn has_queued(&self, service: usize) -> bool {
+        self.queued_requests
+            .values()
+            .any(|(other, _)| *other == service)
     }
 
     fn in_flight(&self, service: usize) -> usize {
@@ -279,14 +293,14 @@
         for (service, name) in SERVICES.iter().enumerate() {
             let status = self.limits.status(&(*name).into()).unwrap();
             assert_eq!(status.in_flight as usize, self.in_flight(service));
-            let waiting = self.waiting.values().filter(|(other, _)| *other == service);
-            assert_eq!(status.queued as usize, waiting.count());
+            let queued_requests = self
+                .queued_requests
+                .values()
+                .filter(|(other, _)| *other == service);
+            assert_eq!(status.queued as usize, queued_requests.count());
         }
-        for (_, deadline) in self.waiting.values() {
-            assert!(
-                *deadline >= self.clock.now,
-                "waits although its time is over"
-            );
+        for (_, deadline) in self.queued_requests.values() {
+            assert!(*deadline >= self.clock.now, "queued after its deadline");
         }
     }
 }
@@ -298,41 +312,43 @@
         ..Config::default()
     })]
 
-    /// Whatever happens, each request runs, waits or is refused, once; limits hold; nobody waits
-    /// past the deadline.
+    /// Each request is in exactly one state, limits hold, and no request is queued past its deadline.
     #[test]
-    fn books_agree(
+    fn admission_agrees_with_model(
         steps in prop::collection::vec(step(), 1..150),
         order in prop::sample::select(vec![
             QueueOrder::FirstCome, QueueOrder::EarliestDeadline, QueueOrder::ShortestPredictedTime,
         ]),
     ) {
-        let mut books = Books::new(order);
-        steps.into_iter().for_each(|step| books.take(step));
-        books.pass(Duration::from_secs(1));
-        prop_assert!(books.waiting.is_empty());
+        let mut model = AdmissionModel::new(order);
+        steps.into_iter().for_each(|step| model.apply(step));
+        model.advance(Duration::from_secs(1));
+        prop_assert!(model.queued_requests.is_empty());
     }
 }
 
-/// Where the node is full, a service of higher priority goes first.
+/// Guards the release order while the node's concurrency is exhausted.
 #[test]
-fn priority_goes_first() {
-    let mut books = Books::new(QueueOrder::EarliestDeadline);
+fn higher_priority_is_released_first() {
+    let mut model = AdmissionModel::new(QueueOrder::EarliestDeadline);
     for _ in 0..3 {
-        books.arrive(0, 200);
-        books.arrive(1, 200);
+        model.arrive(0, 200);
+        model.arrive(1, 200);
     }
     for _ in 0..2 {
-        (0..3).for_each(|service| books.arrive(service, 200));
+        (0..3).for_each(|service| model.arrive(service, 200));
     }
-    assert_eq!((books.running.len(), books.waiting.len()), (6, 6));
+    assert_eq!((model.running.len(), model.queued_requests.len()), (6, 6));
     for expected in [2, 2, 1, 1, 0, 0] {
-        books.finish(*books.running.keys().next().unwrap(), 5, false);
-        let last = books
-            .waiting
+        model.finish(*model.running.keys().next().unwrap(), 5, false);
+        let still_queued = model
+            .queued_requests
             .values()
             .filter(|(service, _)| *service == expected);
-        assert!(last.count() < 2, "service {expected} goes first");
+        assert!(
+            still_queued.count() < 2,
+            "a request of service {expected} is released first"
+        );
     }
-    assert!(books.waiting.is_empty());
+    assert!(model.queued_requests.is_empty());
 }
--- a/crates/thornbridge-core/src/limits/tests/orders.rs
+++ b/crates/thornbridge-core/src/limits/tests/orders.rs
@@ -1,10 +1,10 @@
-use crate::limits::queue::{RequestQueue, Waiting};
+use crate::limits::queue::{QueuedRequest, RequestQueue};
 use crate::limits::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use thornbridge_proto::NodeId;
 
-fn fixed() -> Config {
+fn config() -> Config {
     Config {
         rng_seed: RngSeed::Fixed(3),
         failure_persistence: None,
@@ -23,8 +23,8 @@
     Timestamp::from_epoch(Duration::from_millis(millis))
 }
 
-fn waiting(sequence: u64, deadline: u64, predicted: u64) -> Waiting {
-    Waiting {
+fn queued_request(sequence: u64, deadline: u64, predicted: u64) -> QueuedRequest {
+    QueuedRequest {
         request: request(sequence),
         latest_start: at(deadline),
         deadline: at(deadline),
@@ -35,17 +35,17 @@
 
 fn drain(queue: &mut RequestQueue) -> Vec<u64> {
     std::iter::from_fn(|| queue.pop())
-        .map(|waiting| waiting.request.sequence)
+        .map(|queued| queued.request.sequence)
         .collect()
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(config())]
 
-    /// Extra attempts stay within the share of first attempts, and what the budget began with, at
-    /// every moment. A service without a share has none.
+    /// Extra attempts never exceed the initial tokens plus the share of first attempts; a share of
+    /// zero allows none.
     #[test]
-    fn budget_never_exceeds_its_share(
+    fn extra_attempts_stay_within_budget(
         share in prop_oneof![Just(0.0), 0.0..0.3f64],
         initial_tokens in 0..4u32,
         steps in prop::collection::vec(0..4u8, 1..400),
@@ -55,22 +55,22 @@
             ..ExtraLoadParameters::default()
         };
         let mut budget = ExtraLoadBudget::new(parameters, share);
-        let begun_with = if share > 0.0 { f64::from(initial_tokens) } else { 0.0 };
-        let mut firsts = 0u32;
-        let mut extras = 0u32;
+        let initial = if share > 0.0 { f64::from(initial_tokens) } else { 0.0 };
+        let mut first_attempts = 0u32;
+        let mut extra_attempts = 0u32;
         for step in steps {
             match step {
-                0 | 1 => { budget.first_attempt(); firsts += 1; }
-                2 => extras += u32::from(budget.try_take(ExtraAttempt::Hedge)),
-                _ => extras += u32::from(budget.try_take(ExtraAttempt::Retry)),
+                0 | 1 => { budget.first_attempt(); first_attempts += 1; }
+                2 => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Hedge)),
+                _ => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Retry)),
             }
-            prop_assert!(f64::from(extras) <= begun_with + share * f64::from(firsts) + 1e-9);
+            prop_assert!(f64::from(extra_attempts) <= initial + share * f64::from(first_attempts) + 1e-9);
         }
     }
 
-    /// The queue gives back what a plain sort of its contents gives, whatever was withdrawn.
+    /// Guards the queue's order and its indexes against removals.
     #[test]
-    fn queue_order_is_that_of_a_sort(
+    fn queue_order_matches_a_sort(
         entries in prop::collection::vec((1..100u64, 1..100u64, any::<bool>()), 0..50),
         order in prop::sample::select(vec![
             QueueOrder::FirstCome, QueueOrder::EarliestDeadline, QueueOrder::ShortestPredictedTime,
@@ -78,10 +78,10 @@
     ) {
         let mut queue = RequestQueue::new(order);
         let mut expected = Vec::new();
-        for (index, (deadline, predicted, withdrawn)) in entries.into_iter().enumerate() {
+        for (index, (deadline, predicted, removed)) in entries.into_iter().enumerate() {
             let sequence = index as u64;
-            queue.push(waiting(sequence, deadline, predicted));
-            if withdrawn {
+            queue.push(queued_request(sequence, deadline, predicted));
+            if removed {
                 prop_assert!(queue.remove(request(sequence)));
                 continue;
             }
@@ -99,9 +99,8 @@
     }
 }
 
-/// Shed replies stop extra attempts until replies are useful again.
 #[test]
-fn sheds_deny_extra_attempts() {
+fn shed_replies_deny_extra_attempts() {
     let mut budget = ExtraLoadBudget::new(ExtraLoadParameters::default(), 1.0);
     (0..100).for_each(|_| budget.first_attempt());
     assert!(budget.try_take(ExtraAttempt::Retry));
--- a/crates/thornbridge-core/src/limits/tests/overload.rs
+++ b/crates/thornbridge-core/src/limits/tests/overload.rs
@@ -1,26 +1,27 @@
-//! Admission in front of back ends of known capacity: are refusals true and early, and does the
-//! limit find the capacity?
+//! Admission in front of a server of known capacity: goodput under overload, recovery, and
+//! accuracy of refusals.
 
 use super::admission::{Clock, SERVICES, bundle, in_force, request};
 use crate::limits::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const SERVICE_MICROS: u64 = 10_000;
+const SERVICE_TIME_US: u64 = 10_000;
 
-/// Nodes in front of one server with slots and a first-come queue, in virtual time.
+/// Nodes in front of one server with a FIFO queue, in virtual time (microseconds).
 struct Model {
     nodes: Vec<(Limits, Clock)>,
     slots: usize,
-    /// Started by a node, not yet in a slot: node, request, start.
+    /// Requests waiting for a slot: node, request, start.
     server_queue: std::collections::VecDeque<(usize, RequestId, u64)>,
-    busy: usize,
-    ends: BinaryHeap<Reverse<(u64, usize, u64, u64)>>,
+    busy_slots: usize,
+    /// Requests in slots: end, node, sequence, start.
+    completions: BinaryHeap<Reverse<(u64, usize, u64, u64)>>,
     deadlines: BTreeMap<RequestId, u64>,
-    good: u64,
+    in_time: u64,
     late: u64,
     refused: u64,
-    refused_late: u64,
+    expired: u64,
 }
 
 impl Model {
@@ -35,46 +36,46 @@
             nodes: (0..nodes).map(node).collect(),
             slots,
             server_queue: Default::default(),
-            busy: 0,
-            ends: BinaryHeap::new(),
+            busy_slots: 0,
+            completions: BinaryHeap::new(),
             deadlines: BTreeMap::new(),
-            good: 0,
+            in_time: 0,
             late: 0,
             refused: 0,
-            refused_late: 0,
+            expired: 0,
         }
     }
 
-    /// Offers `load` times the capacity, evenly spread, from one time to another.
-    fn offer(&mut self, load: f64, from: u64, to: u64) {
-        let capacity = self.slots as f64 / SERVICE_MICROS as f64;
-        let gap = (1.0 / (capacity * load)) as u64;
-        let mut time = from;
+    /// Sends requests at a constant rate of `load` times the capacity.
+    fn offer(&mut self, load: f64, start_us: u64, end_us: u64) {
+        let capacity = self.slots as f64 / SERVICE_TIME_US as f64;
+        let interval_us = (1.0 / (capacity * load)) as u64;
+        let mut time = start_us;
         let mut count = 0;
-        while time < to {
+        while time < end_us {
             self.run_until(time);
             let node = (count * 7 + count / 5) % self.nodes.len();
             self.arrive(node, time);
             count += 1;
-            time += gap;
+            time += interval_us;
         }
-        self.run_until(to);
+        self.run_until(end_us);
     }
 
     fn arrive(&mut self, node: usize, now: u64) {
         let id = request(self.deadlines.len() as u64 + 1);
-        let deadline = now + 10 * SERVICE_MICROS;
+        let deadline = now + 10 * SERVICE_TIME_US;
         self.deadlines.insert(id, deadline);
         let name = SERVICES[0].into();
-        let asked = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             service: &name,
             request: id,
-            deadline: micros(deadline),
+            deadline: timestamp(deadline),
             predicted: None,
         };
         let (limits, clock) = &mut self.nodes[node];
-        clock.now = micros(now);
-        match limits.admit(&clock.context(), asked) {
+        clock.now = timestamp(now);
+        match limits.admit(&clock.context(), admission_request) {
             Admission::Run => self.start(node, id, now),
             Admission::Queued => {}
             Admission::Refuse(_) => self.refused += 1,
@@ -82,10 +83,11 @@
     }
 
     fn start(&mut self, node: usize, request: RequestId, now: u64) {
-        if self.busy < self.slots {
-            self.busy += 1;
-            let end = now + SERVICE_MICROS;
-            self.ends.push(Reverse((end, node, request.sequence, now)));
+        if self.busy_slots < self.slots {
+            self.busy_slots += 1;
+            let end = now + SERVICE_TIME_US;
+            self.completions
+                .push(Reverse((end, node, request.sequence, now)));
         } else {
             self.server_queue.push_back((node, request, now));
         }
@@ -93,13 +95,13 @@
 
     fn run_until(&mut self, until: u64) {
         loop {
-            let end = self.ends.peek().map(|Reverse((end, ..))| *end);
+            let end = self.completions.peek().map(|Reverse((end, ..))| *end);
             let timer = (0..self.nodes.len())
-                .filter_map(|node| Some((as_micros(self.nodes[node].0.next_timeout()?), node)))
+                .filter_map(|node| Some((as_us(self.nodes[node].0.next_timeout()?), node)))
                 .min();
             match (end, timer) {
                 (Some(end), timer) if end <= until && timer.is_none_or(|(due, _)| end <= due) => {
-                    self.end();
+                    self.complete_next();
                 }
                 (_, Some((due, node))) if due <= until => self.timer(node, due),
                 _ => return,
@@ -107,19 +109,19 @@
         }
     }
 
-    fn end(&mut self) {
-        let Some(Reverse((now, node, sequence, started))) = self.ends.pop() else {
+    fn complete_next(&mut self) {
+        let Some(Reverse((now, node, sequence, started))) = self.completions.pop() else {
             return;
         };
-        self.busy -= 1;
+        self.busy_slots -= 1;
         if let Some((node, request, start)) = self.server_queue.pop_front() {
-            self.busy += 1;
-            let end = now + SERVICE_MICROS;
-            self.ends
+            self.busy_slots += 1;
+            let end = now + SERVICE_TIME_US;
+            self.completions
                 .push(Reverse((end, node, request.sequence, start)));
         }
         let in_time = now <= self.deadlines[&request(sequence)];
-        self.good += u64::from(in_time);
+        self.in_time += u64::from(in_time);
         self.late += u64::from(!in_time);
         let latency = Duration::from_micros(now - started);
         let end = RequestEnd {
@@ -128,14 +130,14 @@
             signal: LoadSignal::Normal,
         };
         let (limits, clock) = &mut self.nodes[node];
-        clock.now = micros(now);
+        clock.now = timestamp(now);
         let release = limits.finished(&clock.context(), &SERVICES[0].into(), end);
         self.released(node, release, now);
     }
 
     fn timer(&mut self, node: usize, now: u64) {
         let (limits, clock) = &mut self.nodes[node];
-        clock.now = micros(now).max(clock.now);
+        clock.now = timestamp(now).max(clock.now);
         let release = limits.timer_due(&clock.context());
         self.released(node, release, now);
     }
@@ -144,104 +146,110 @@
         for request in release.run {
             self.start(node, request, now);
         }
-        self.refused_late += release.refuse.len() as u64;
+        self.expired += release.refuse.len() as u64;
     }
 
     fn reset(&mut self) {
-        (self.good, self.late, self.refused, self.refused_late) = (0, 0, 0, 0);
+        (self.in_time, self.late, self.refused, self.expired) = (0, 0, 0, 0);
     }
 }
 
-fn micros(micros: u64) -> Timestamp {
-    Timestamp::from_epoch(Duration::from_secs(1) + Duration::from_micros(micros))
+fn timestamp(time_us: u64) -> Timestamp {
+    Timestamp::from_epoch(Duration::from_secs(1) + Duration::from_micros(time_us))
 }
 
-fn as_micros(time: Timestamp) -> u64 {
+fn as_us(time: Timestamp) -> u64 {
     let since = time.since_epoch().saturating_sub(Duration::from_secs(1));
     since.as_micros() as u64 + 1
 }
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// Goodput at one and a half times the capacity is at least nine tenths of that just below it,
-/// hardly anything ends late, and after the overload nothing is refused any more within two
-/// seconds. For one node, and for many with less than one request each in flight.
-fn overload_is_survived(nodes: usize, slots: usize) {
+/// Guards against congestion collapse: under overload, goodput stays near capacity and few answers
+/// are late; after it, refusals stop.
+fn check_overload_recovery(nodes: usize, slots: usize) {
     let mut model = Model::new(nodes, slots);
-    model.offer(0.95, 0, 5 * SECOND);
+    model.offer(0.95, 0, 5 * SECOND_US);
     model.reset();
-    model.offer(0.95, 5 * SECOND, 10 * SECOND);
-    let normal = model.good;
-    model.offer(1.5, 10 * SECOND, 15 * SECOND);
+    model.offer(0.95, 5 * SECOND_US, 10 * SECOND_US);
+    let normal = model.in_time;
+    model.offer(1.5, 10 * SECOND_US, 15 * SECOND_US);
     model.reset();
-    model.offer(1.5, 15 * SECOND, 20 * SECOND);
-    let (good, late) = (model.good, model.late);
+    model.offer(1.5, 15 * SECOND_US, 20 * SECOND_US);
+    let (in_time, late) = (model.in_time, model.late);
     assert!(
-        good * 10 >= normal * 9,
-        "{nodes} nodes: {good} good of {normal}, {late} late"
+        in_time * 10 >= normal * 9,
+        "{nodes} nodes: {in_time} answered in time, {normal} at normal load, {late} late"
     );
-    assert!(late * 50 <= good, "{nodes} nodes: {late} late of {good}");
     assert!(
-        model.refused_late * 10 <= model.refused,
-        "refusals are early"
+        late * 50 <= in_time,
+        "{nodes} nodes: {late} late, {in_time} in time"
     );
-    model.offer(0.6, 20 * SECOND, 22 * SECOND);
+    assert!(
+        model.expired * 10 <= model.refused,
+        "{} requests expired in the queue, {} were refused on arrival",
+        model.expired,
+        model.refused
+    );
+    model.offer(0.6, 20 * SECOND_US, 22 * SECOND_US);
     model.reset();
-    model.offer(0.6, 22 * SECOND, 25 * SECOND);
+    model.offer(0.6, 22 * SECOND_US, 25 * SECOND_US);
     assert_eq!(
-        model.refused + model.refused_late + model.late,
+        model.refused + model.expired + model.late,
         0,
-        "{nodes} nodes"
+        "{nodes} nodes: refused or late after the overload ended"
     );
 }
 
 #[test]
-fn one_node_survives_overload() {
-    overload_is_survived(1, 20);
+fn one_node_recovers_from_overload() {
+    check_overload_recovery(1, 20);
 }
 
 #[test]
-fn few_nodes_survive_overload() {
-    overload_is_survived(10, 20);
+fn few_nodes_recover_from_overload() {
+    check_overload_recovery(10, 20);
 }
 
 #[test]
-fn many_nodes_survive_overload() {
-    overload_is_survived(80, 10);
+fn many_nodes_recover_from_overload() {
+    check_overload_recovery(80, 10);
 }
 
-/// With a known service time and limit, what is queued is answered in time, and a refused request
-/// that comes back after the time it was told finds room.
+/// Guards `retry_after`: all queued requests run in time, and a retry after that delay is admitted.
 #[test]
-fn refusals_are_true() {
+fn refused_request_is_admitted_after_retry_delay() {
     let mut clock = Clock::new();
     let mut limits = Limits::new(LimitParameters::default());
     limits.install(&mut clock.context(), &in_force(bundle(2, 1_000)));
     let name: ServiceName = SERVICES[0].into();
-    let asked = |sequence, now: Timestamp| AdmissionRequest {
+    let admission_request = |sequence, now: Timestamp| AdmissionRequest {
         service: &name,
         request: request(sequence),
         deadline: now + Duration::from_millis(60),
         predicted: None,
     };
-    // The service's first guess is half of its target: 10 ms. Two run, so one starts each 5 ms, and
-    // the fifth would wait for more than the target of 20 ms.
+    // The initial expected latency is half of the target of 20 ms. With two requests running, one
+    // starts every 5 ms, so the fifth queued request would wait for more than the target.
     let requests = (1..=30)
-        .map(|sequence| asked(sequence, clock.now))
+        .map(|sequence| admission_request(sequence, clock.now))
         .collect::<Vec<_>>();
-    let admitted = requests
+    let decisions = requests
         .into_iter()
-        .map(|asked| limits.admit(&clock.context(), asked))
+        .map(|request| limits.admit(&clock.context(), request))
         .collect::<Vec<_>>();
-    let running = admitted
+    let running = decisions
         .iter()
         .filter(|admission| **admission == Admission::Run);
-    let queued = admitted
+    let queued = decisions
         .iter()
         .filter(|admission| **admission == Admission::Queued);
     assert_eq!((running.count(), queued.count()), (2, 4));
-    let Admission::Refuse(refusal) = admitted[29] else {
-        panic!("the last is refused");
+    let Admission::Refuse(refusal) = decisions[29] else {
+        panic!(
+            "expected the last request to be refused, got {:?}",
+            decisions[29]
+        );
     };
     let mut running: u32 = 2;
     while clock
@@ -262,7 +270,7 @@
             running += release.run.len() as u32;
         }
     }
-    let repeat = asked(31, clock.now);
-    let again = limits.admit(&clock.context(), repeat);
-    assert_eq!(again, Admission::Run);
+    let retry = admission_request(31, clock.now);
+    let decision = limits.admit(&clock.context(), retry);
+    assert_eq!(decision, Admission::Run);
 }
