--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -1,4 +1,4 @@
-//! The members of a gateway's cluster: who shares the budgets, and who watches the store closely.
+//! Members of a gateway's cluster, and what depends on them: reader order, budgets, shares.
 
 use super::Gateway;
 use super::action::GatewayAction;
@@ -11,7 +11,7 @@
 use thornbridge_proto::peer::membership::MemberRecord;
 
 impl Gateway {
-    /// Calls the membership, and hands on what it wants and says.
+    /// Runs a call on the membership; forwards the actions and signals that the call emitted.
     pub(super) fn with_membership(&mut self, call: impl FnOnce(&mut Membership, &mut Context<'_>)) {
         let mut context = Context::new(
             self.now,
@@ -31,15 +31,15 @@
     }
 
     pub(super) fn member_action(&mut self, action: Action) {
-        // Its changes of state show in the number of members, which is told when it changes.
+        // State changes of members are reported by `members_changed`.
         if let Action::SendPeer { to, message } = action {
             self.actions
                 .push_back(GatewayAction::SendPeer { to, message });
         }
     }
 
-    /// The budgets are shared by so many members; tells it where that changes what this node may use.
-    fn share_budget(&mut self, members: usize) {
+    /// Sets the number of members that share the budgets; reports a changed number of sharers.
+    fn update_budget_sharers(&mut self, members: usize) {
         let before = self.budget.sharers();
         self.budget.set_members(members);
         let sharers = self.budget.sharers();
@@ -58,15 +58,15 @@
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
         let sharers: Vec<Sharer> = view.taking_work().map(sharer).collect();
-        let place = sharers.iter().position(|member| member.address == own);
-        let rank = place.unwrap_or(sharers.len());
+        let position = sharers.iter().position(|member| member.address == own);
+        let rank = position.unwrap_or(sharers.len());
         self.freshness.set_rank(rank);
         for source in self.sources_mut() {
             source.set_rank(rank);
         }
         self.peer_views.set_readers(&own_sharer, &sharers, rank);
         let members = sharers.len().max(1);
-        self.share_budget(members);
+        self.update_budget_sharers(members);
         self.slices.set_members(sharers.clone());
         self.division_stale = true;
         self.servers.set_sharers(self.now, sharers);
--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_viewing.rs
@@ -1,4 +1,4 @@
-//! What peers tell of the views, and what they are told.
+//! Messages from peers, and the exchange of views with them.
 
 use super::Gateway;
 use super::action::GatewayAction;
@@ -24,15 +24,15 @@
                     self.quarantine.learnt(self.now, &mut self.actions, record);
                 }
             }
-            // The other protocols belong to nodes that serve queries and actions.
+            // Protocols of [`crate::Node`] only.
             PeerMessage::Configuration(_) | PeerMessage::Health(_) | PeerMessage::Action(_) => {}
         }
     }
 
     pub(super) fn view_message(&mut self, peer: SocketAddr, message: ViewMessage) {
         if let Some(era) = self.implausible_era(&message) {
-            let reason = format!("era {era} of the store");
-            self.object_refused(format!("view of {peer}"), reason);
+            let reason = format!("implausible store era {era}");
+            self.object_refused(format!("view message of {peer}"), reason);
             return;
         }
         match message {
@@ -44,14 +44,16 @@
                 self.peer_views
                     .handle_digest(self.now, &mut self.actions, peer, digest, age, own);
             }
-            ViewMessage::Pull(theirs) => self.pulled(peer, theirs),
-            ViewMessage::Configuration { encoded, .. } => self.peer_configuration(peer, &encoded),
-            ViewMessage::Registry(delta) => self.peer_registry(peer, delta),
-            ViewMessage::Evacuations(evacuated) => self.peer_evacuations(peer, evacuated),
+            ViewMessage::Pull(peer_digest) => self.answer_pull(peer, peer_digest),
+            ViewMessage::Configuration { encoded, .. } => {
+                self.apply_peer_configuration(peer, &encoded)
+            }
+            ViewMessage::Registry(delta) => self.apply_peer_registry(peer, delta),
+            ViewMessage::Evacuations(evacuated) => self.apply_peer_evacuations(peer, evacuated),
         }
     }
 
-    /// An era that a message claims and the store cannot be in.
+    /// The store era in a message, if it is implausible.
     fn implausible_era(&self, message: &ViewMessage) -> Option<u64> {
         let era = match message {
             ViewMessage::Digest { digest, .. } | ViewMessage::Pull(digest) => {
@@ -65,22 +67,22 @@
         (!is_plausible_era(known, era)).then_some(era)
     }
 
-    pub(super) fn pulled(&mut self, peer: SocketAddr, theirs: ViewDigest) {
+    pub(super) fn answer_pull(&mut self, peer: SocketAddr, peer_digest: ViewDigest) {
         let newest = match self.staging.get() {
             Some(staged) => Some(&staged.configuration),
             None => self.configuration.as_ref(),
         };
         if let Some(configuration) = newest
-            && configuration.version.0 > theirs.configuration
+            && configuration.version.0 > peer_digest.configuration
             && let Ok(encoded) = rmp_serde::to_vec(&**configuration)
         {
             let version = configuration.version.0;
             self.send_view(peer, ViewMessage::Configuration { version, encoded });
         }
-        if let Some(evacuated) = self.evacuations.newer_than(theirs.evacuations) {
+        if let Some(evacuated) = self.evacuations.newer_than(peer_digest.evacuations) {
             self.send_view(peer, ViewMessage::Evacuations(evacuated));
         }
-        if let Some(delta) = self.registry.delta(theirs.registry) {
+        if let Some(delta) = self.registry.delta(peer_digest.registry) {
             self.send_view(peer, ViewMessage::Registry(delta));
         }
     }
@@ -91,9 +93,9 @@
             .push_back(GatewayAction::SendPeer { to, message });
     }
 
-    pub(super) fn peer_configuration(&mut self, peer: SocketAddr, encoded: &[u8]) {
+    pub(super) fn apply_peer_configuration(&mut self, peer: SocketAddr, encoded: &[u8]) {
         let Ok(configuration) = rmp_serde::from_slice::<RouteConfiguration>(encoded) else {
-            self.object_refused("peer's configuration".to_owned(), "malformed".to_owned());
+            self.object_refused(format!("configuration of {peer}"), "malformed".to_owned());
             return;
         };
         if self.take_configuration(configuration, ViewOrigin::Peer) {
@@ -101,24 +103,24 @@
         }
     }
 
-    /// Tells a few peers of what is new here, from this peer or from the store.
+    /// Announces changed views. `from`: the peer that sent the change; `None` for the store.
     pub(super) fn announce(&mut self, from: Option<SocketAddr>) {
         let own = self.view_age();
         self.peer_views
             .announce(&mut self.random, &mut self.actions, own, from);
     }
 
-    pub(super) fn peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
+    pub(super) fn apply_peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
         let before = self.registry.upto();
         let changes = self.registry.apply_delta(self.now, delta);
         let changed = !changes.is_empty();
-        self.registry_learnt(before, changes, ViewOrigin::Peer);
+        self.apply_registry_update(before, changes, ViewOrigin::Peer);
         if changed {
             self.announce(Some(peer));
         }
     }
 
-    fn peer_evacuations(&mut self, peer: SocketAddr, evacuated: EvacuatedZones) {
+    fn apply_peer_evacuations(&mut self, peer: SocketAddr, evacuated: EvacuatedZones) {
         let changes = self.evacuations.replace(evacuated.zones, evacuated.at);
         let changed = !changes.is_empty();
         self.evacuations_changed(changes, ViewOrigin::Peer);
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/viewing.rs
@@ -1,4 +1,4 @@
-//! The views of a gateway: who reads the store, and what changes with what it tells.
+//! Updates of a gateway's views from the store, and the switch between reading and following.
 
 use super::Gateway;
 use super::action::GatewayAction;
@@ -7,20 +7,20 @@
 use super::views::evacuations::EvacuationChange;
 use super::views::peers::ViewAge;
 use super::views::registry::RegistryChange;
-use super::views::source::{SourceNews, SourceReader};
+use super::views::source::{SourceReader, SourceUpdate};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use thornbridge_proto::BackEndId;
 use thornbridge_proto::peer::view::{StoreRevision, ViewDigest};
 
-/// Time after a start in which a node that joins through others leaves the store to them.
-const JOINING: Duration = Duration::from_millis(700);
+/// Time after the start in which a node that joins through seeds does not read the store.
+const JOIN_GRACE_PERIOD: Duration = Duration::from_millis(700);
 
 impl Gateway {
     pub(super) fn digest(&self) -> ViewDigest {
-        let known = self.configuration.as_ref();
-        let in_force = known.map_or(0, |configuration| configuration.version.0);
+        let current = self.configuration.as_ref();
+        let in_force = current.map_or(0, |configuration| configuration.version.0);
         let staged = self.staging.version().map_or(0, |version| version.0);
         ViewDigest {
             configuration: in_force.max(staged),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What this node has, and when the store confirmed it.
+    /// Digest of this node's views, and when the store last confirmed them.
     pub(super) fn view_age(&self) -> ViewAge {
         ViewAge {
             digest: self.digest(),
@@ -38,28 +38,28 @@
         }
     }
 
-    /// Reads the store, or leaves that to others while they do.
+    /// Starts or stops reading the store according to staleness and rank.
     pub(super) fn judge_freshness(&mut self) {
         if let Some(oldest) = self.oldest_confirmation() {
             self.freshness.confirm(oldest);
         }
         let digest = self.digest();
         self.freshness.confirm_if_caught_up(digest);
-        let joining = self.joins_through_others && self.now.since_epoch() < JOINING;
-        let following = joining || !self.freshness.should_read(self.now);
-        self.tell_reading(!following);
+        let is_joining = self.joins_through_others && self.now.since_epoch() < JOIN_GRACE_PERIOD;
+        let following = is_joining || !self.freshness.should_read(self.now);
+        self.set_reading(!following);
         let (now, actions) = (self.now, &mut self.actions);
-        let known = self.registry.upto();
+        let current = self.registry.upto();
         self.configuration_source
             .set_following(now, actions, following, None);
         self.registry_source
-            .set_following(now, actions, following, known);
+            .set_following(now, actions, following, current);
         let following = following || !self.parameters.views.evacuations;
         self.evacuation_source
             .set_following(now, actions, following, None);
     }
 
-    /// When the store confirmed all views that are read, where it did.
+    /// Oldest confirmation among the views that are read; `None` if one was never confirmed.
     fn oldest_confirmation(&self) -> Option<Timestamp> {
         let configuration = self.configuration_source.confirmed_at()?;
         let registry = self.registry_source.confirmed_at()?;
@@ -78,7 +78,7 @@
         ]
     }
 
-    fn tell_reading(&mut self, reads: bool) {
+    fn set_reading(&mut self, reads: bool) {
         if reads == self.reads {
             return;
         }
@@ -114,21 +114,22 @@
             ViewKind::Registry => &mut self.registry_source,
             ViewKind::Evacuations => &mut self.evacuation_source,
         };
-        let news = source.replied(self.now, &mut self.random, &mut self.actions, read, result);
-        let Some(news) = news else {
+        let update = source.replied(self.now, &mut self.random, &mut self.actions, read, result);
+        let Some(update) = update else {
             return;
         };
         let before = self.digest();
-        let changed = match news {
-            SourceNews::Whole(objects, at) => self.take_whole(kind, objects, at),
-            SourceNews::Changes(objects, at) => self.take_changes(kind, objects, at),
+        let changed = match update {
+            SourceUpdate::List(objects, at) => self.apply_list(kind, objects, at),
+            SourceUpdate::Changes(objects, at) => self.apply_changes(kind, objects, at),
         };
         if changed && self.digest() != before {
             self.announce(None);
         }
     }
 
-    pub(super) fn take_whole(
+    /// Applies a complete list; returns whether the view changed.
+    pub(super) fn apply_list(
         &mut self,
         kind: ViewKind,
         objects: Vec<ViewObject>,
@@ -160,14 +161,15 @@
             let before = self.registry.upto();
             let changes = self.registry.replace(self.now, entries, at);
             changed |= !changes.is_empty();
-            self.registry_learnt(before, changes, ViewOrigin::Store);
+            self.apply_registry_update(before, changes, ViewOrigin::Store);
         }
         changed
     }
 
-    /// Takes changes of the registry, which was known up to `before`. Those of the first list are told
-    /// in one line, and so is a new era of the store.
-    pub(super) fn registry_learnt(
+    /// Applies registry changes and reports them. `before`: revision of the registry before them.
+    ///
+    /// A summary replaces the reports of single instances if the registry was unknown before.
+    pub(super) fn apply_registry_update(
         &mut self,
         before: Option<StoreRevision>,
         changes: Vec<RegistryChange>,
@@ -177,17 +179,17 @@
         let changed = changes.len();
         self.registry_changed(changes, origin);
         if let Some(before) = before {
-            self.tell_era(before, changed, origin);
+            self.report_new_era(before, changed, origin);
             return;
         }
-        let told = self.actions.split_off(actions_before);
+        let emitted = self.actions.split_off(actions_before);
         let is_instance = |action: &GatewayAction| {
             matches!(
                 action,
                 GatewayAction::Changed(GatewayChange::Instance { .. })
             )
         };
-        let others = told.into_iter().filter(|action| !is_instance(action));
+        let others = emitted.into_iter().filter(|action| !is_instance(action));
         self.actions.extend(others);
         let change = GatewayChange::RegistryKnown {
             instances: self.registry.len(),
@@ -197,15 +199,15 @@
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
-    /// Tells of a new era of the store, where the registry is of one.
-    fn tell_era(&mut self, before: StoreRevision, changed: usize, origin: ViewOrigin) {
-        let known = self.registry.upto().unwrap_or_default();
-        if known.era == before.era {
+    /// Reports a new era of the store, if the changes began one.
+    fn report_new_era(&mut self, before: StoreRevision, changed: usize, origin: ViewOrigin) {
+        let current = self.registry.upto().unwrap_or_default();
+        if current.era == before.era {
             return;
         }
         let change = GatewayChange::StoreEra {
             ended: before,
-            begun: known,
+            begun: current,
             changed,
             instances: self.registry.len(),
             origin,
@@ -213,14 +215,15 @@
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
-    pub(super) fn take_changes(
+    /// Applies the changes of a watch; returns whether the view changed.
+    pub(super) fn apply_changes(
         &mut self,
         kind: ViewKind,
         objects: Vec<ViewObject>,
         at: StoreRevision,
     ) -> bool {
         let mut changes = Vec::new();
-        let mut orders = Vec::new();
+        let mut evacuation_changes = Vec::new();
         let mut changed = false;
         for object in objects {
             match object {
@@ -233,11 +236,11 @@
                 ViewObject::Configuration(configuration) => {
                     changed |= self.take_configuration(configuration, ViewOrigin::Store);
                 }
-                ViewObject::Evacuated(zone) => orders.push(EvacuationChange {
+                ViewObject::Evacuated(zone) => evacuation_changes.push(EvacuationChange {
                     zone,
                     evacuated: true,
                 }),
-                ViewObject::EvacuationOver(zone) => orders.push(EvacuationChange {
+                ViewObject::EvacuationOver(zone) => evacuation_changes.push(EvacuationChange {
                     zone,
                     evacuated: false,
                 }),
@@ -246,7 +249,7 @@
                     revision,
                     reason,
                 } => {
-                    // An instance whose entry became unusable is gone; another may have written it.
+                    // An unusable entry removes the instance: another writer may have replaced it.
                     if kind == ViewKind::Registry {
                         let id = BackEndId::new(name.as_str());
                         changes.extend(self.registry.remove(self.now, revision, at, &id));
@@ -258,10 +261,10 @@
         if kind == ViewKind::Registry {
             self.registry.advance_to(at);
         }
-        if !orders.is_empty() {
-            let orders = self.evacuations.take(orders.into_iter(), at);
-            changed |= !orders.is_empty();
-            self.evacuations_changed(orders, ViewOrigin::Store);
+        if !evacuation_changes.is_empty() {
+            let evacuation_changes = self.evacuations.take(evacuation_changes.into_iter(), at);
+            changed |= !evacuation_changes.is_empty();
+            self.evacuations_changed(evacuation_changes, ViewOrigin::Store);
         }
         changed |= !changes.is_empty();
         self.registry_changed(changes, ViewOrigin::Store);
@@ -297,10 +300,10 @@
             }
         }
         self.division_stale = true;
-        self.strand_leaving();
+        self.reassign_waiting_requests();
     }
 
-    /// Takes orders to send nothing to the servers of zones, and their ends.
+    /// Applies starts and ends of evacuations to the servers, and reports them.
     pub(super) fn evacuations_changed(
         &mut self,
         changes: Vec<EvacuationChange>,
@@ -321,18 +324,18 @@
             self.actions.push_back(GatewayAction::Changed(change));
         }
         self.division_stale = true;
-        self.strand_leaving();
+        self.reassign_waiting_requests();
     }
 
-    /// What waits for a server that takes nothing any more goes elsewhere.
-    pub(super) fn strand_leaving(&mut self) {
+    /// Moves requests that wait for a leaving server to other servers.
+    pub(super) fn reassign_waiting_requests(&mut self) {
         for server in self.servers.leaving_with_waiting() {
             let (exchanges, mut scope) = self.exchanges();
             exchanges.server_left(&mut scope, server);
         }
     }
 
-    /// Whether configuration and registry are known.
+    /// Whether this node has a configuration and a registry.
     pub(super) fn knows_views(&self) -> bool {
         self.configuration.is_some() && self.registry.upto().is_some()
     }
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -1,8 +1,8 @@
-//! Reading one view from the store: a list, then watches, one call at a time.
+//! Reader of one view in the store: a list, then watches, with one read in flight at a time.
 //!
-//! Guards against a store that refuses, throttles, loses answers, forgets its history or falls
-//! silent: every read has a time limit, failures are followed by pauses that grow, and a history
-//! that is gone by a new list. So is a new era of the store, in which a watch would miss changes.
+//! Every read has a timeout, and failures are retried with backoff. A new list follows if the store
+//! no longer has the history to watch from, or began a new era, across which a watch would miss
+//! changes.
 
 use crate::gateway::action::{GatewayAction, SourceRead};
 
@@ -16,37 +16,37 @@
 use std::time::Duration;
 use thornbridge_proto::peer::view::StoreRevision;
 
-/// Failures in a row beyond which the pause does not grow.
+/// Consecutive failures after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 8;
-/// Failures in a row after which a list is given twice the time.
-const FAILURES_PER_TIMEOUT: u32 = 6;
-/// Least part of a pause while nothing is known: nodes that started together are to read at
-/// different times, so that one of them meets the store soon after it is back.
-const LEAST_FIRST_PAUSE: f64 = 0.1;
-/// Least part of a pause otherwise.
-const LEAST_PAUSE: f64 = 0.5;
-/// Members in the order of readers after which a node pauses twice as long: calls that fail are
-/// priced too, and whoever succeeds tells the others.
-const RANKS_PER_PAUSE: f64 = 8.0;
+/// Consecutive failures after which the timeout of a list is doubled.
+const FAILURES_PER_TIMEOUT_DOUBLING: u32 = 6;
+/// Minimum share of the backoff before the first list. Wide jitter spreads the reads of nodes that
+/// started together, so that one soon finds the store available again.
+const MIN_INITIAL_BACKOFF_SHARE: f64 = 0.1;
+/// Minimum share of the backoff after the first list.
+const MIN_BACKOFF_SHARE: f64 = 0.5;
+/// Ranks in the reader order that add one base backoff. Failed calls are billed too, and one
+/// successful reader updates the others.
+const RANKS_PER_BACKOFF_UNIT: f64 = 8.0;
 
-/// What a reader does now.
+/// State of a reader, with the time at which it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Doing {
-    /// Nothing: peers tell of changes.
+enum ReaderState {
+    /// No reads; changes come from peers.
     Following,
-    /// Nothing until then.
+    /// No read until the given time.
     Pausing(Timestamp),
-    /// Waits for a page of the list.
+    /// Waits for a page of the list until the given time.
     Listing(Timestamp),
-    /// Waits for changes.
+    /// Waits for changes until the given time.
     Watching(Timestamp),
 }
 
-/// What a read brought.
+/// Update of the view by a reply.
 #[derive(Clone, Debug, PartialEq)]
-pub(in crate::gateway) enum SourceNews {
-    /// The whole view, as of a revision.
-    Whole(Vec<ViewObject>, StoreRevision),
+pub(in crate::gateway) enum SourceUpdate {
+    /// All objects as of a revision.
+    List(Vec<ViewObject>, StoreRevision),
     /// Changes up to a revision.
     Changes(Vec<ViewObject>, StoreRevision),
 }
@@ -56,22 +56,24 @@
 pub(in crate::gateway) struct SourceReader {
     kind: ViewKind,
     parameters: ViewParameters,
-    doing: Doing,
-    read: u64,
-    /// Pages of a list that is not complete, and the revision of its first.
-    pages: Vec<ViewObject>,
-    first_page: Option<StoreRevision>,
-    after: Option<String>,
-    /// Revision to watch from; `None` where a list is needed.
-    at: Option<StoreRevision>,
-    failures: u32,
-    last_answer: Timestamp,
+    state: ReaderState,
+    read_id: u64,
+    /// Objects of the pages received so far of a list in progress.
+    listed_objects: Vec<ViewObject>,
+    /// Revision of the first page of that list.
+    list_revision: Option<StoreRevision>,
+    /// Name after which the next page begins; `None` outside of a list.
+    page_cursor: Option<String>,
+    /// Revision to watch from; `None` if a list is needed.
+    revision: Option<StoreRevision>,
+    consecutive_failures: u32,
+    last_answer_at: Timestamp,
     reachable: bool,
-    /// Whether peers tell of the view, so that nothing is read.
+    /// Whether changes come from peers, so that no new read begins.
     following: bool,
     /// When the store last confirmed the view.
     confirmed_at: Option<Timestamp>,
-    /// This node's place in the order of readers.
+    /// Position in the reader order.
     rank: usize,
 }
 
@@ -80,14 +82,14 @@
         Self {
             kind,
             parameters,
-            doing: Doing::Pausing(Timestamp::ZERO),
-            read: 0,
-            pages: Vec::new(),
-            first_page: None,
-            after: None,
-            at: None,
-            failures: 0,
-            last_answer: Timestamp::ZERO,
+            state: ReaderState::Pausing(Timestamp::ZERO),
+            read_id: 0,
+            listed_objects: Vec::new(),
+            list_revision: None,
+            page_cursor: None,
+            revision: None,
+            consecutive_failures: 0,
+            last_answer_at: Timestamp::ZERO,
             reachable: true,
             following: false,
             confirmed_at: None,
@@ -95,24 +97,24 @@
         }
     }
 
-    /// The same reader, which leaves the view to peers until it is told to read.
+    /// Starts the reader as a follower.
     pub(in crate::gateway) fn following(mut self) -> Self {
         self.following = true;
         self
     }
 
-    /// Takes this node's place in the order of readers; 0 reads for all.
+    /// Sets this node's position in the reader order.
     pub(in crate::gateway) fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// Takes new tunable values, for the next read on.
+    /// Sets the parameters of the following reads.
     pub(in crate::gateway) fn set_parameters(&mut self, parameters: ViewParameters) {
         self.parameters = parameters;
     }
 
-    /// Whether peers tell of the view. A read under way is not broken off; no other follows it.
-    /// `known`: everything up to this revision is known, so that a watch can begin there.
+    /// Switches between following and reading. A read in flight is completed in either case.
+    /// `known`: revision up to which the view is complete, from which a watch can start.
     pub(in crate::gateway) fn set_following(
         &mut self,
         now: Timestamp,
@@ -121,10 +123,10 @@
         known: Option<StoreRevision>,
     ) {
         self.following = following;
-        if following || self.doing != Doing::Following {
+        if following || self.state != ReaderState::Following {
             return;
         }
-        self.at = self.at.max(known);
+        self.revision = self.revision.max(known);
         self.start(now, actions);
     }
 
@@ -135,61 +137,66 @@
 
     /// Time since the store last answered a read of this view.
     pub(in crate::gateway) fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.last_answer)
+        now.since(self.last_answer_at)
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is due next.
     pub(in crate::gateway) fn next_timeout(&self) -> Timestamp {
-        match self.doing {
-            Doing::Following => Timestamp::MAX,
-            Doing::Pausing(until) | Doing::Listing(until) | Doing::Watching(until) => until,
+        match self.state {
+            ReaderState::Following => Timestamp::MAX,
+            ReaderState::Pausing(until)
+            | ReaderState::Listing(until)
+            | ReaderState::Watching(until) => until,
         }
     }
 
-    /// Starts the next read, or gives one up that took too long.
+    /// Starts the next read, or fails the current one on timeout.
     pub(in crate::gateway) fn timer_due(
         &mut self,
         now: Timestamp,
         random: &mut Pcg64Mcg,
         actions: &mut VecDeque<GatewayAction>,
     ) {
-        match self.doing {
-            Doing::Pausing(until) if until <= now => self.start(now, actions),
-            Doing::Listing(until) | Doing::Watching(until) if until <= now => {
+        match self.state {
+            ReaderState::Pausing(until) if until <= now => self.start(now, actions),
+            ReaderState::Listing(until) | ReaderState::Watching(until) if until <= now => {
                 self.failed(now, random, actions, SourceFailure::Unreachable);
             }
             _ => {}
         }
     }
 
-    /// The store answered a read.
+    /// Handles the result of a read; returns the update of the view, if any.
     pub(in crate::gateway) fn replied(
         &mut self,
         now: Timestamp,
         random: &mut Pcg64Mcg,
         actions: &mut VecDeque<GatewayAction>,
-        read: u64,
+        read_id: u64,
         result: Result<SourceReply, SourceFailure>,
-    ) -> Option<SourceNews> {
-        let asked = matches!(self.doing, Doing::Listing(_) | Doing::Watching(_));
-        if read != self.read || !asked {
+    ) -> Option<SourceUpdate> {
+        let is_reading = matches!(
+            self.state,
+            ReaderState::Listing(_) | ReaderState::Watching(_)
+        );
+        if read_id != self.read_id || !is_reading {
             return None;
         }
         match result {
             Ok(reply) => {
                 self.answered(now, actions);
-                let news = self.take(now, reply);
-                match &news {
-                    Some(SourceNews::Changes(objects, _)) if !objects.is_empty() => {
-                        self.doing = Doing::Pausing(now + self.parameters.coalescing);
+                let update = self.apply_reply(now, reply);
+                match &update {
+                    Some(SourceUpdate::Changes(objects, _)) if !objects.is_empty() => {
+                        self.state = ReaderState::Pausing(now + self.parameters.coalescing);
                     }
                     _ => self.start(now, actions),
                 }
-                news
+                update
             }
             Err(SourceFailure::HistoryGone) => {
                 self.answered(now, actions);
-                self.at = None;
+                self.revision = None;
                 self.start(now, actions);
                 None
             }
@@ -200,64 +207,68 @@
         }
     }
 
-    fn take(&mut self, now: Timestamp, reply: SourceReply) -> Option<SourceNews> {
+    fn apply_reply(&mut self, now: Timestamp, reply: SourceReply) -> Option<SourceUpdate> {
         match reply {
             SourceReply::Page { objects, next, at } => {
-                let first = *self.first_page.get_or_insert(at);
-                if first.era != at.era {
-                    self.forget_pages();
+                let list_revision = *self.list_revision.get_or_insert(at);
+                if list_revision.era != at.era {
+                    self.discard_pages();
                     return None;
                 }
-                self.pages.extend(objects);
-                self.after = next;
-                if self.after.is_some() {
+                self.listed_objects.extend(objects);
+                self.page_cursor = next;
+                if self.page_cursor.is_some() {
                     return None;
                 }
-                self.at = Some(first);
-                self.first_page = None;
+                self.revision = Some(list_revision);
+                self.list_revision = None;
                 self.confirmed_at = Some(now);
-                Some(SourceNews::Whole(std::mem::take(&mut self.pages), first))
+                Some(SourceUpdate::List(
+                    std::mem::take(&mut self.listed_objects),
+                    list_revision,
+                ))
             }
             SourceReply::Changes { objects, at } => {
-                let known = self.at.unwrap_or_default();
+                let known = self.revision.unwrap_or_default();
                 if at.era != known.era {
-                    // Revisions are given out again in a new era: what lies between is not told.
-                    self.at = None;
+                    // A new era reuses revisions, so that a watch does not return all changes.
+                    self.revision = None;
                     return None;
                 }
                 self.confirmed_at = Some(now);
-                self.at = Some(at.max(known));
-                Some(SourceNews::Changes(objects, at))
+                self.revision = Some(at.max(known));
+                Some(SourceUpdate::Changes(objects, at))
             }
         }
     }
 
     fn start(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
-        // A list that has begun is finished: whoever asked may be the first to know.
-        if self.following && self.after.is_none() {
-            self.doing = Doing::Following;
+        // A list in progress is completed: no peer may have the view yet.
+        if self.following && self.page_cursor.is_none() {
+            self.state = ReaderState::Following;
             return;
         }
-        self.read += 1;
-        let (what, timeout) = match self.at {
+        self.read_id += 1;
+        let (what, timeout) = match self.revision {
             Some(from) => {
                 let wait = self.parameters.watch_wait;
                 let timeout = wait + self.parameters.read_timeout;
-                self.doing = Doing::Watching(now + timeout);
+                self.state = ReaderState::Watching(now + timeout);
                 (SourceRead::Watch { from, wait }, timeout)
             }
             None => {
-                let doublings = (self.failures / FAILURES_PER_TIMEOUT).min(MAX_DOUBLINGS);
+                let doublings =
+                    (self.consecutive_failures / FAILURES_PER_TIMEOUT_DOUBLING).min(MAX_DOUBLINGS);
                 let timeout = self.parameters.first_read_timeout * 2_u32.pow(doublings);
                 let timeout = timeout.min(self.parameters.read_timeout);
-                self.doing = Doing::Listing(now + timeout);
-                let after = self.after.clone();
+                self.state = ReaderState::Listing(now + timeout);
+                let after = self.page_cursor.clone();
                 (SourceRead::List { after }, timeout)
             }
         };
         actions.push_back(GatewayAction::Read {
             kind: self.kind,
-            read: self.read,
+            read: self.read_id,
             what,
             timeout,
         });
@@ -265,11 +276,11 @@
 
     fn answered(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
         if !self.reachable {
-            self.tell(now, actions, true, None);
+            self.report_reachability(now, actions, true, None);
         }
         self.reachable = true;
-        self.failures = 0;
-        self.last_answer = now;
+        self.consecutive_failures = 0;
+        self.last_answer_at = now;
     }
 
     fn failed(
@@ -280,44 +291,45 @@
         failure: SourceFailure,
     ) {
         if self.reachable {
-            self.tell(now, actions, false, Some(failure));
+            self.report_reachability(now, actions, false, Some(failure));
         }
         self.reachable = false;
-        // A list begins anew; a watch goes on from where it was.
-        self.forget_pages();
+        // A list restarts from its first page; a watch resumes from its revision.
+        self.discard_pages();
         let pause = self
-            .backoff()
-            .mul_f64(random.random_range(self.least_pause()..=1.0));
-        self.failures += 1;
-        self.doing = Doing::Pausing(now + pause);
+            .max_backoff()
+            .mul_f64(random.random_range(self.min_backoff_share()..=1.0));
+        self.consecutive_failures += 1;
+        self.state = ReaderState::Pausing(now + pause);
     }
 
-    fn forget_pages(&mut self) {
-        self.pages.clear();
-        self.first_page = None;
-        self.after = None;
+    fn discard_pages(&mut self) {
+        self.listed_objects.clear();
+        self.list_revision = None;
+        self.page_cursor = None;
     }
 
-    /// Longest pause after this failure.
-    fn backoff(&self) -> Duration {
+    /// Backoff before jitter.
+    fn max_backoff(&self) -> Duration {
         let parameters = &self.parameters;
-        let doublings = self.failures.min(MAX_DOUBLINGS);
-        let pause = match self.at {
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        let pause = match self.revision {
             None => parameters.unknown_backoff,
             Some(_) => parameters.first_backoff * 2_u32.pow(doublings),
         };
         let pause = pause.min(parameters.longest_backoff);
-        pause.mul_f64(1.0 + self.rank as f64 / RANKS_PER_PAUSE)
+        pause.mul_f64(1.0 + self.rank as f64 / RANKS_PER_BACKOFF_UNIT)
     }
 
-    fn least_pause(&self) -> f64 {
-        match self.at {
-            None => LEAST_FIRST_PAUSE,
-            Some(_) => LEAST_PAUSE,
+    /// Lower bound of the jitter.
+    fn min_backoff_share(&self) -> f64 {
+        match self.revision {
+            None => MIN_INITIAL_BACKOFF_SHARE,
+            Some(_) => MIN_BACKOFF_SHARE,
         }
     }
 
-    fn tell(
+    fn report_reachability(
         &self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
