--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -134,8 +134,7 @@
     /// Time for which an instance is still used as a last resort after its entry vanished; its
     /// server may write a lost entry again with the next heartbeat.
     pub vanished_grace: Duration,
-    /// Time for which such an instance is used at most, from when the store last confirmed its
-    /// entry.
+    /// Longest use of a vanished instance after the store last confirmed its entry.
     pub vanished_unconfirmed: Duration,
     /// Time for which servers count as cold after an evacuation.
     pub cold_after_evacuation: Duration,
@@ -317,12 +316,12 @@
 pub struct QuarantineParameters {
     /// Whether requests that crash servers are detected.
     pub enabled: bool,
-    /// Servers that must have crashed while processing a request. Lower values would affect
-    /// requests that ran at the same time as such a request.
+    /// Servers that must have crashed under a request before it is restricted to canaries. Lower
+    /// values also affect requests that ran concurrently with a crashing one.
     pub crashes: usize,
-    /// Servers that may get a suspected request, so that a successful answer can clear it.
+    /// Servers that may get a request after `crashes` crashes, so that an answer can clear it.
     pub canaries: u32,
-    /// Longest time in which canaries may get a suspected request. Longer than usual pauses of servers.
+    /// Longest time in which canaries may get a request. Longer than usual pauses of servers.
     pub testing: Duration,
     /// Delay after a crash until peers are notified; most requests are cleared by then.
     pub telling: Duration,
