--- a/crates/thornbridge-core/src/gateway/tests/budgets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! The budget of extra attempts holds for all members together, whatever they do.
+//! The retry budget holds for all members together, across restarts and lost members.
 
 use crate::gateway::budget::{ExtraAttemptBudget, ServiceKey};
 use crate::gateway::parameters::BudgetParameters;
@@ -9,7 +9,7 @@
 const SERVICE: ServiceKey = ServiceKey(0);
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Members of the deployment.
+/// Members of the cluster.
 const MEMBERS: usize = 4;
 
 fn parameters() -> BudgetParameters {
@@ -21,58 +21,61 @@
     }
 }
 
-/// What a member does, or what happens to it.
+/// Step of a property test; the first field is the member's index.
 #[derive(Clone, Copy, Debug)]
 enum Step {
+    /// A number of requests arrive at a member.
     Requests(usize, usize),
-    /// It makes as many extra attempts as it may.
-    Extra(usize),
+    /// A member takes all extra attempts that its budget allows.
+    TakeExtra(usize),
+    /// A number of milliseconds pass.
     Wait(u16),
-    /// It starts again and knows of nobody yet.
+    /// A member restarts without knowledge of the others.
     Restart(usize),
-    /// It finds all others.
-    Find(usize),
-    /// It loses all but so many, itself included.
+    /// A member discovers all others.
+    Discover(usize),
+    /// A member loses others until the given number is left, itself included.
     Lose(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..MEMBERS, 1..60_usize).prop_map(|(member, count)| Step::Requests(member, count)),
-        4 => (0..MEMBERS).prop_map(Step::Extra),
+        4 => (0..MEMBERS).prop_map(Step::TakeExtra),
         2 => (1..900_u16).prop_map(Step::Wait),
         1 => (0..MEMBERS).prop_map(Step::Restart),
-        1 => (0..MEMBERS).prop_map(Step::Find),
+        1 => (0..MEMBERS).prop_map(Step::Discover),
         1 => (0..MEMBERS, 1..MEMBERS).prop_map(|(member, left)| Step::Lose(member, left)),
     ]
 }
 
-/// A member that has just started.
-fn starting(started: Timestamp) -> (ExtraAttemptBudget, Timestamp) {
+/// Budget of a member without knowledge of others, and its start time.
+fn started_member(started: Timestamp) -> (ExtraAttemptBudget, Timestamp) {
     (ExtraAttemptBudget::new(parameters(), true, 1), started)
 }
 
-/// A member that knows so many since its start.
-fn knowing(members: usize) -> ExtraAttemptBudget {
+/// Budget of a member that has seen the given number of members.
+fn member_of(members: usize) -> ExtraAttemptBudget {
     let mut budget = ExtraAttemptBudget::new(parameters(), true, 1);
     budget.set_members(members);
     budget
 }
 
-fn taken(budget: &mut ExtraAttemptBudget, at: Duration) -> usize {
+/// Takes all extra attempts that the budget allows, up to 100; returns their number.
+fn take_all(budget: &mut ExtraAttemptBudget, at: Duration) -> usize {
     let now = Timestamp::from_epoch(at);
     (0..100).filter(|_| budget.try_take(now, SERVICE)).count()
 }
 
 proptest! {
-    /// Members that start again forget what they spent and whom they knew, and any of them may have
-    /// lost the others: none of it may make the sum greater.
+    /// Restarted members have lost their counts and their knowledge of others; neither may raise the
+    /// sum of extra attempts above the budget.
     #[test]
-    fn the_sum_of_all_members_stays_within_the_budget(
+    fn sum_over_all_members_stays_within_budget(
         steps in prop::collection::vec(step(), 1..600)
     ) {
         let mut now = Timestamp::ZERO + Duration::from_secs(100);
-        let mut members: Vec<_> = (0..MEMBERS).map(|_| starting(Timestamp::ZERO)).collect();
+        let mut members: Vec<_> = (0..MEMBERS).map(|_| started_member(Timestamp::ZERO)).collect();
         for (budget, _) in &mut members {
             budget.set_members(MEMBERS);
         }
@@ -81,10 +84,10 @@
         for step in steps {
             match step {
                 Step::Wait(millis) => now = now + Duration::from_millis(u64::from(millis)),
-                Step::Restart(index) => members[index] = starting(now),
-                Step::Find(index) => members[index].0.set_members(MEMBERS),
+                Step::Restart(index) => members[index] = started_member(now),
+                Step::Discover(index) => members[index].0.set_members(MEMBERS),
                 Step::Lose(index, left) => {
-                    let left = left.min(known(&members[index].0));
+                    let left = left.min(members_seen(&members[index].0));
                     members[index].0.set_members(left);
                 }
                 Step::Requests(index, count) => {
@@ -94,26 +97,26 @@
                         requests.push(now);
                     }
                 }
-                Step::Extra(index) => {
+                Step::TakeExtra(index) => {
                     let (budget, started) = &mut members[index];
-                    let taken = taken(budget, now.since(*started));
+                    let taken = take_all(budget, now.since(*started));
                     extra.extend(std::iter::repeat_n(now, taken));
                 }
             }
             let within = |times: &[Timestamp], end: Timestamp| {
                 times.iter().filter(|at| end.since(**at) < WINDOW && **at <= end).count() as f64
             };
-            let asked = within(&requests, now)
+            let requested = within(&requests, now)
                 .max(within(&requests, now - WINDOW / 2))
                 .max(within(&requests, now - WINDOW));
             let used = within(&extra, now);
-            prop_assert!(used <= 0.2 * asked + 56.0, "{used} extra, {asked} requests");
+            prop_assert!(used <= 0.2 * requested + 56.0, "{used} extra attempts, {requested} requests");
         }
     }
 }
 
-/// A member that knows of nobody cannot lose anybody.
-fn known(budget: &ExtraAttemptBudget) -> usize {
+/// Members that a member has seen; only itself while it has no share of the slack.
+fn members_seen(budget: &ExtraAttemptBudget) -> usize {
     match budget.slack_share() > 0.0 {
         true => MEMBERS,
         false => 1,
@@ -121,80 +124,79 @@
 }
 
 #[test]
-fn a_member_that_just_started_uses_little_of_what_it_earned() {
-    let mut budget = knowing(1 + 1);
+fn restarted_member_uses_small_share_of_earned_attempts() {
+    let mut budget = member_of(1 + 1);
     let early = WINDOW.mul_f64(1.04);
     let now = Timestamp::from_epoch(early);
     assert!(!budget.allows(now, SERVICE));
     for _ in 0..100 {
         budget.request(now, SERVICE);
     }
-    assert_eq!(taken(&mut budget, early), 3);
-    assert!(taken(&mut budget, WINDOW.mul_f64(1.06)) > 20);
+    assert_eq!(take_all(&mut budget, early), 3);
+    assert!(take_all(&mut budget, WINDOW.mul_f64(1.06)) > 20);
 }
 
 #[test]
-fn a_member_that_met_nobody_uses_no_share_of_the_slack() {
+fn member_without_contact_uses_no_slack() {
     let mut alone = ExtraAttemptBudget::new(parameters(), true, 1);
     alone.set_members(1);
-    assert_eq!(taken(&mut alone, WINDOW * 100), 0);
+    assert_eq!(take_all(&mut alone, WINDOW * 100), 0);
     alone.set_members(8);
-    assert_eq!(taken(&mut alone, WINDOW * 100), 5);
+    assert_eq!(take_all(&mut alone, WINDOW * 100), 5);
 }
 
 #[test]
-fn a_node_that_joins_nobody_uses_all_of_the_slack() {
+fn single_node_without_seeds_uses_all_slack() {
     let mut only = ExtraAttemptBudget::new(parameters(), false, 1);
-    assert_eq!(taken(&mut only, WINDOW * 2), 47);
+    assert_eq!(take_all(&mut only, WINDOW * 2), 47);
 }
 
 #[test]
-fn members_that_were_lost_still_have_their_shares() {
-    let mut budget = knowing(8);
+fn lost_members_keep_their_shares() {
+    let mut budget = member_of(8);
     budget.set_members(1);
-    assert_eq!(taken(&mut budget, WINDOW * 100), 5);
+    assert_eq!(take_all(&mut budget, WINDOW * 100), 5);
 }
 
-/// All members spend what a window earned just before they are killed, and go on earning and spending
-/// after it: what the killed ones spent still counts.
+/// Guards against members that restart together and exceed the budget, since attempts before the
+/// restart still count in the window.
 #[test]
-fn members_that_start_again_leave_room_for_what_was_spent_before() {
-    const REQUESTS_A_SECOND: usize = 40;
+fn restarted_members_leave_room_for_earlier_attempts() {
+    const REQUESTS_PER_SECOND: usize = 40;
     let second = Duration::from_secs(1);
     let mut spent_before = 0;
-    let mut budgets: Vec<_> = (0..MEMBERS).map(|_| knowing(MEMBERS)).collect();
+    let mut budgets: Vec<_> = (0..MEMBERS).map(|_| member_of(MEMBERS)).collect();
     let ends = WINDOW * 3;
     for budget in &mut budgets {
         for at in 20..30 {
             let now = Timestamp::from_epoch(second * at);
-            (0..REQUESTS_A_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
+            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
         }
-        spent_before += taken(budget, ends);
+        spent_before += take_all(budget, ends);
     }
-    let mut spent_since = 0;
+    let mut spent_after = 0;
     for budget in &mut budgets {
-        *budget = knowing(MEMBERS);
+        *budget = member_of(MEMBERS);
         for at in 0..9 {
             let at = second * at;
             let now = Timestamp::from_epoch(at);
-            (0..REQUESTS_A_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
-            spent_since += taken(budget, at);
+            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
+            spent_after += take_all(budget, at);
         }
     }
-    let requests = REQUESTS_A_SECOND * 10;
+    let requests = REQUESTS_PER_SECOND * 10;
     let allowed = 0.2 * requests as f64 + 56.0;
-    let used = (spent_before + spent_since) as f64;
+    let used = (spent_before + spent_after) as f64;
     assert!(
         used <= allowed,
-        "{spent_before} before, {spent_since} since, {allowed} allowed"
+        "{spent_before} before, {spent_after} after the restart, {allowed} allowed"
     );
 }
 
-/// What users saw: with a slack of 1,040 attempts for 985 nodes each node's share was less than one, and
-/// none of it was used.
+/// Guards against a slack that goes unused because each node's share is less than one attempt.
 #[test]
-fn a_slack_of_about_one_attempt_a_node_is_used_and_its_sum_holds() {
-    let later = Timestamp::ZERO + Duration::from_secs(60);
+fn slack_below_one_attempt_per_node_is_used_within_limit() {
+    let settled = Timestamp::ZERO + Duration::from_secs(60);
     for (nodes, slack) in [(985, 1_040.0), (985, 400.0), (120, 60.0)] {
         for service in 0..20 {
             let mut used = 0;
@@ -205,7 +207,7 @@
                 };
                 let mut budget = ExtraAttemptBudget::new(parameters, true, seed);
                 budget.set_members(nodes as usize);
-                while budget.try_take(later, ServiceKey(service)) {
+                while budget.try_take(settled, ServiceKey(service)) {
                     used += 1;
                 }
             }
--- a/crates/thornbridge-core/src/gateway/tests/queues.rs
+++ b/crates/thornbridge-core/src/gateway/tests/queues.rs
@@ -1,4 +1,4 @@
-//! The order of parts that wait for a connection of a server.
+//! Order in which queued parts of a server are sent.
 
 use crate::driver_action::CallerId;
 use crate::gateway::servers::{Waiting, WaitingQueue};
@@ -27,25 +27,25 @@
 }
 
 #[test]
-fn parts_that_can_be_in_time_go_before_those_that_cannot() {
+fn parts_in_time_are_sent_before_late_ones() {
     let parts = [part(1, 40, 900), part(2, 90, 1_500), part(3, 70, 1_500)];
     assert_eq!(order(50, &parts), [3, 2, 1]);
 }
 
 #[test]
-fn late_parts_go_by_the_end_of_their_requests() {
+fn late_parts_are_sent_by_deadline() {
     let parts = [part(1, 10, 1_500), part(2, 20, 800), part(3, 30, 1_600)];
     assert_eq!(order(50, &parts), [2, 1, 3]);
 }
 
 #[test]
-fn late_parts_of_equal_ends_go_in_the_order_in_which_they_came() {
+fn late_parts_with_equal_deadlines_are_sent_in_arrival_order() {
     let parts = [part(1, 30, 800), part(2, 20, 800), part(3, 10, 800)];
     assert_eq!(order(50, &parts), [1, 2, 3]);
 }
 
 #[test]
-fn a_part_that_waits_no_more_is_not_sent() {
+fn removed_part_is_not_sent() {
     let mut queue = WaitingQueue::default();
     queue.push(part(1, 10, 800));
     queue.push(part(2, 10, 900));
@@ -55,7 +55,6 @@
 }
 
 proptest! {
-    /// Every part is sent once, whatever the time is by then.
     #[test]
     fn each_part_is_sent_once(parts in prop::collection::vec((0..200_u64, 0..2_000_u64), 0..20), now in 0..300_u64) {
         let parts: Vec<Waiting> = (0_u64..).zip(&parts).map(|(caller, (send_by, ends))| part(caller, *send_by, *ends)).collect();
--- a/crates/thornbridge-core/src/gateway/tests/scarcity.rs
+++ b/crates/thornbridge-core/src/gateway/tests/scarcity.rs
@@ -1,12 +1,12 @@
-//! Servers that accept a connection and reset it at once, since they have too many.
+//! Servers at their connection limit, which reset connections right after accepting them.
 
 use super::support::{Harness, answer, answer_all, gather, millis, route};
 use crate::gateway::{ExchangeFailure, GatewayEvent};
 use thornbridge_config::routes::Repeatability::Repeatable;
 
-const ONE: &[u8] = b"0000000000000001";
+const RECORD: &[u8] = b"0000000000000001";
 
-/// Two shards of two servers each, to each of which the only open connection is busy.
+/// Two shards of two servers each, with one busy connection to each server.
 fn busy() -> Harness {
     let target = gather(&["a", "b"], 1.0);
     let servers = [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b")];
@@ -16,7 +16,7 @@
     harness
 }
 
-/// The same, after a server refused a connection.
+/// [`busy`], after a server refused a connection.
 fn refusing() -> Harness {
     let mut harness = busy();
     harness.refuse_next(1);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn nothing_is_written_to_a_fresh_connection_while_servers_refuse_some() {
+fn fresh_connection_is_on_probation_after_refusal() {
     let mut harness = refusing();
     let caller = harness.ask("/x");
     harness.wait(millis(4));
@@ -36,29 +36,29 @@
 }
 
 #[test]
-fn a_fresh_connection_is_used_at_once_where_none_was_refused() {
+fn fresh_connection_is_used_at_once_without_refusals() {
     let mut harness = busy();
     let caller = harness.ask("/x");
     assert_eq!(harness.sent_for(caller).len(), 2);
 }
 
 #[test]
-fn a_refused_connection_is_no_attempt() {
+fn refused_connection_does_not_count_as_attempt() {
     let mut harness = refusing();
     harness.refuse_next(2);
     let caller = harness.ask("/x");
     harness.wait(millis(60));
     let sent = harness.sent_for(caller);
-    assert_eq!(sent.len(), 2, "each part went to its other server");
+    assert_eq!(sent.len(), 2, "each part is sent to its other server");
     for attempt in sent {
-        harness.reply(attempt.attempt, answer(ONE));
+        harness.reply(attempt.attempt, answer(RECORD));
     }
     assert!(harness.answers.contains_key(&caller));
     assert!(harness.refused(caller).is_none());
 }
 
 #[test]
-fn a_part_waits_for_a_server_that_cannot_be_reached_yet() {
+fn part_waits_for_unreachable_server() {
     let mut harness = refusing();
     let caller = harness.ask("/x");
     harness.wait(millis(20));
@@ -74,14 +74,18 @@
     harness.refuse_next(0);
     harness.wait(millis(800));
     let sent = harness.sent_for(caller);
-    assert_eq!(sent.len(), 3, "one at a time after two servers broke");
-    harness.reply(sent[2].attempt, answer(ONE));
+    assert_eq!(
+        sent.len(),
+        3,
+        "one attempt at a time after failures at two servers"
+    );
+    harness.reply(sent[2].attempt, answer(RECORD));
     harness.wait(millis(5));
     assert_eq!(harness.sent_for(caller).len(), 4);
 }
 
 #[test]
-fn a_connection_is_kept_for_a_moment_only_while_many_are_refused() {
+fn idle_connections_are_closed_soon_while_many_are_refused() {
     let mut harness = busy();
     for _ in 0..3 {
         harness.refuse_next(2);
@@ -91,12 +95,12 @@
     answer_all(&mut harness);
     harness.wait(millis(400));
     let used = harness.sent.iter().map(|sent| sent.connection);
-    let kept: Vec<_> = used.filter(|used| harness.open.contains(used)).collect();
-    assert!(kept.is_empty(), "{kept:?} are kept after use");
+    let idle: Vec<_> = used.filter(|used| harness.open.contains(used)).collect();
+    assert!(idle.is_empty(), "idle connections still open: {idle:?}");
 }
 
 #[test]
-fn a_connection_is_kept_where_none_is_refused() {
+fn idle_connections_are_kept_without_refusals() {
     let mut harness = busy();
     answer_all(&mut harness);
     harness.wait(millis(2_000));
--- a/crates/thornbridge-core/src/gateway/tests/silences.rs
+++ b/crates/thornbridge-core/src/gateway/tests/silences.rs
@@ -1,34 +1,30 @@
-//! Connections that go silent for good while new ones to the same server work.
+//! Dead connections to a server that still accepts new ones.
 
 use super::support::{Harness, RECORD, answer, millis, route, service};
 use crate::gateway::GatewayAnswer;
 use assert_matches::assert_matches;
 use thornbridge_config::routes::Repeatability;
 
-/// Members beside the node: enough that it may have one connection to a server.
+/// Other members; enough to limit the node to one connection per server.
 const PEERS: u8 = 40;
 
-/// A node with a plain route to one server.
+/// A node with one route, to a service with one server.
 fn node() -> Harness {
     let route = route("/one/", service("alone"), Repeatability::Repeatable);
     Harness::serving(vec![route], &[("alone-0", "alone")])
 }
 
 #[test]
-fn a_request_after_a_silent_one_goes_over_a_fresh_connection() {
+fn request_after_overdue_one_uses_fresh_connection() {
     let mut harness = node();
     harness.shares_gathers(1.0, PEERS);
-    let silent = harness.ask("/one/1");
-    let dead = harness.sent_for(silent)[0].connection;
+    let unanswered = harness.ask("/one/1");
+    let dead = harness.sent_for(unanswered)[0].connection;
     harness.wait(millis(600));
     let caller = harness.ask("/one/2");
     harness.wait(millis(10));
     let sent = harness.sent_for(caller);
-    assert_eq!(
-        sent.len(),
-        1,
-        "one connection is dead, and another is opened"
-    );
+    assert_eq!(sent.len(), 1, "a fresh connection replaces the dead one");
     assert_ne!(sent[0].connection, dead);
     harness.reply(sent[0].attempt, answer(RECORD));
     assert_matches!(
@@ -38,9 +34,9 @@
 }
 
 #[test]
-fn connections_that_rested_meanwhile_are_not_used_again() {
+fn connections_idle_since_before_overdue_attempt_are_not_reused() {
     let mut harness = node();
-    // Two at once, so that two connections are open; both rest then.
+    // Two concurrent requests leave two idle connections.
     let first = harness.ask("/one/1");
     let second = harness.ask("/one/2");
     harness.wait(millis(10));
@@ -58,7 +54,7 @@
 }
 
 #[test]
-fn a_server_that_is_merely_slow_keeps_its_connections() {
+fn slow_server_keeps_its_connections() {
     let mut harness = node();
     let slow = harness.ask("/one/1");
     let opened = harness.open.len();
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! What is learnt of a server's speed.
+//! Estimate of a server's slowdown.
 
 use super::support::{instance, millis};
 use crate::gateway::ServerParameters;
@@ -15,7 +15,7 @@
 
 const WORK: Duration = Duration::from_millis(20);
 
-/// One server, and how fast this node believes that it is.
+/// One server and its observed processing times.
 struct Observed {
     servers: Servers,
     key: ServerKey,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn two_slow_answers_in_a_row_tell_where_few_are_seen() {
+fn two_consecutive_slow_answers_raise_slowdown_at_low_rate() {
     let mut observed = Observed::new();
     for _ in 0..10 {
         observed.observe(millis(800), WORK);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn one_pause_makes_no_slow_server() {
+fn single_slow_answer_has_limited_effect() {
     let mut observed = Observed::new();
     observed.observe(millis(800), WORK);
     observed.observe(millis(800), WORK * 12);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn where_many_are_seen_each_says_little() {
+fn single_slow_answer_has_little_weight_at_high_rate() {
     let mut observed = Observed::new();
     for _ in 0..50 {
         observed.observe(millis(50), WORK);
--- a/crates/thornbridge-core/src/gateway/tests/subsets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! More nodes than a server takes connections.
+//! Connection limits and subsets with more nodes than a server accepts connections.
 
 use super::support::instance;
 use crate::driver_action::ConnectionId;
@@ -31,7 +31,7 @@
     SocketAddr::from(([10, 2, shard as u8, replica as u8 + 1], 9_000))
 }
 
-/// One node of a cluster, with one service for each shard.
+/// Server table of one node, with one service per shard.
 struct Node {
     servers: Servers,
     actions: VecDeque<GatewayAction>,
@@ -89,8 +89,8 @@
         );
     }
 
-    /// Connections that it opens when it is told of so many members.
-    fn opens(&mut self, now: Timestamp, members: usize) -> BTreeMap<SocketAddr, u32> {
+    /// Sets the number of members; returns how many connections are opened to each server.
+    fn open_with_members(&mut self, now: Timestamp, members: usize) -> BTreeMap<SocketAddr, u32> {
         let sharers = (0..members).map(|index| Sharer {
             address: address(index),
             zone: zone(index),
@@ -113,47 +113,50 @@
 }
 
 #[test]
-fn all_nodes_together_keep_within_a_servers_connections() {
+fn all_nodes_together_stay_within_connection_limit() {
     const NODES: usize = 64;
     const SHARDS: usize = 20;
     const CONNECTIONS: u32 = 54;
     let mut of_server: BTreeMap<SocketAddr, u32> = BTreeMap::new();
-    let mut alone = 0;
+    let mut single_replica = 0;
     for index in 0..NODES {
         let mut node = Node::new(index, SHARDS, CONNECTIONS);
-        let opened = node.opens(after(5_000), NODES);
+        let opened = node.open_with_members(after(5_000), NODES);
         for shard in 0..SHARDS {
             let replicas = (0..REPLICAS)
                 .filter(|replica| opened.contains_key(&server_address(shard, *replica)));
             let replicas = replicas.count();
-            assert!(replicas >= 1, "node {index} reaches nothing of {shard}");
-            alone += usize::from(replicas == 1);
+            assert!(
+                replicas >= 1,
+                "node {index} has no connection to shard {shard}"
+            );
+            single_replica += usize::from(replicas == 1);
         }
         for (server, count) in opened {
             *of_server.entry(server).or_default() += count;
         }
     }
     let most = of_server.values().max().copied().unwrap_or_default();
-    assert!(most <= 43, "{most} connections of 54");
-    let share = alone as f64 / (NODES * SHARDS) as f64;
-    assert!(share < 0.05, "{share} of nodes have no second choice");
+    assert!(most <= 43, "{most} of 54 connections to one server");
+    let share = single_replica as f64 / (NODES * SHARDS) as f64;
+    assert!(share < 0.05, "{share} of nodes have a single replica");
 }
 
 #[test]
-fn a_node_that_just_started_opens_one_connection_a_service() {
+fn started_node_opens_one_connection_per_service() {
     let mut node = Node::new(0, 20, 54);
-    let opened = node.opens(after(100), 1);
+    let opened = node.open_with_members(after(100), 1);
     assert_eq!(opened.len(), 20);
 }
 
 #[test]
-fn few_nodes_are_connected_to_every_server() {
+fn few_nodes_connect_to_every_server() {
     let mut node = Node::new(0, 20, 26);
-    let opened = node.opens(after(5_000), 8);
+    let opened = node.open_with_members(after(5_000), 8);
     assert_eq!(opened.len(), 20 * REPLICAS);
 }
 
-/// Connections that 24 nodes open to one service of so many servers, by server.
+/// Connections that 24 nodes open to a service with `servers` servers, by server.
 fn opened_to_one_service(servers: usize) -> BTreeMap<SocketAddr, u32> {
     let mut of_server = BTreeMap::new();
     for index in 0..24 {
@@ -161,7 +164,7 @@
         for replica in REPLICAS..servers {
             node.register(0, replica);
         }
-        let opened = node.opens(after(5_000), 24);
+        let opened = node.open_with_members(after(5_000), 24);
         assert_eq!(opened.len(), ServerParameters::default().servers_ahead);
         for (server, count) in opened {
             *of_server.entry(server).or_default() += count;
@@ -170,36 +173,39 @@
     of_server
 }
 
-/// What users saw: 985 nodes opened 717,095 connections for 148,608 attempts, since each connected to
-/// every server that let it.
+/// Guards against nodes that connect to every server, most of which they never use.
 #[test]
-fn connections_ahead_of_use_do_not_grow_with_servers_and_are_spread_over_them() {
-    let (once, twice) = (opened_to_one_service(12), opened_to_one_service(24));
-    assert_eq!(once.values().sum::<u32>(), twice.values().sum::<u32>());
-    assert!(twice.len() > 18, "{twice:?}");
+fn preconnections_do_not_grow_with_servers_and_are_spread() {
+    let (few, many) = (opened_to_one_service(12), opened_to_one_service(24));
+    assert_eq!(few.values().sum::<u32>(), many.values().sum::<u32>());
+    assert!(many.len() > 18, "{many:?}");
 }
 
 #[test]
-fn the_subset_is_the_same_after_a_restart() {
+fn subset_is_stable_across_restart() {
     let mut first = Node::new(7, 20, 54);
     let mut second = Node::new(7, 20, 54);
     assert_eq!(
-        first.opens(after(5_000), 64),
-        second.opens(after(9_000), 64)
+        first.open_with_members(after(5_000), 64),
+        second.open_with_members(after(9_000), 64)
     );
 }
 
 #[test]
-fn a_server_that_leaves_is_replaced_in_the_subset() {
-    // Such a server is open to 62 of the 64 nodes.
+fn draining_server_is_replaced_in_subset() {
+    // With 78 connections, each server is assigned to 62 of the 64 nodes.
     let mut node = Node::new(0, 1, 78);
-    let before = node.opens(after(5_000), 64);
-    let kept: Vec<usize> = (0..REPLICAS)
+    let before = node.open_with_members(after(5_000), 64);
+    let assigned: Vec<usize> = (0..REPLICAS)
         .filter(|replica| before.contains_key(&server_address(0, *replica)))
         .collect();
-    let left = kept[0];
-    let mut instance = instance(&format!("i-0-{left}"), "shard-0", InstanceState::Draining);
-    instance.address = server_address(0, left);
+    let draining = assigned[0];
+    let mut instance = instance(
+        &format!("i-0-{draining}"),
+        "shard-0",
+        InstanceState::Draining,
+    );
+    instance.address = server_address(0, draining);
     node.servers.present(
         after(6_000),
         &mut node.actions,
@@ -214,16 +220,16 @@
         _ => None,
     });
     let opened: Vec<SocketAddr> = opened.collect();
-    assert!(!opened.contains(&server_address(0, left)));
-    let other = (0..REPLICAS).find(|replica| !kept.contains(replica));
+    assert!(!opened.contains(&server_address(0, draining)));
+    let other = (0..REPLICAS).find(|replica| !assigned.contains(replica));
     let other = other.map(|replica| server_address(0, replica));
     assert_eq!(opened, Vec::from_iter(other));
 }
 
 #[test]
-fn an_unused_connection_is_opened_again_only_for_a_service_without_any() {
+fn expired_unused_connections_are_replaced_by_one_per_service() {
     let mut node = Node::new(0, 1, 26);
-    node.opens(after(5_000), 8);
+    node.open_with_members(after(5_000), 8);
     let mut opened: Vec<ConnectionId> = Vec::new();
     for action in &node.actions {
         if let GatewayAction::Open { connection, .. } = action {
@@ -234,22 +240,22 @@
         node.servers
             .opened(after(5_001), *connection, Duration::from_millis(1));
     }
-    // The servers close what rested for too long.
+    // The servers close idle connections.
     for connection in &opened {
         node.servers.lost(after(15_000), *connection);
     }
     node.actions.clear();
     node.servers.keep_warm(after(17_000), &mut node.actions);
-    let again = node.actions.iter();
-    let again = again.filter(|action| matches!(action, GatewayAction::Open { .. }));
-    assert_eq!(again.count(), 1);
+    let reopened = node.actions.iter();
+    let reopened = reopened.filter(|action| matches!(action, GatewayAction::Open { .. }));
+    assert_eq!(reopened.count(), 1);
 }
 
 #[test]
-fn a_server_whose_only_connection_here_is_busy_is_no_better_than_a_free_one_farther_away() {
-    // 13 connections of a server for 8 nodes: one for this node, fewer than the server's slots.
+fn farther_server_is_preferred_to_busy_connection() {
+    // A limit of 13 connections and 8 nodes leave one connection per node, fewer than the slots.
     let mut node = Node::new(0, 1, 13);
-    node.opens(after(5_000), 8);
+    node.open_with_members(after(5_000), 8);
     let opened: Vec<_> = node.actions.iter().filter_map(opening).collect();
     for (connection, address) in opened {
         let near = address == server_address(0, 0);
