--- a/crates/thornbridge-core/src/gateway/tests/mod.rs
+++ b/crates/thornbridge-core/src/gateway/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the gateway's parts: properties against simple oracles, and the rules of each.
+//! Unit and property tests of the gateway.
 
 mod answers;
 mod awaiting;
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers crashed, as one node sees them.
+//! Tests of the quarantine of requests that crash servers, on a single node.
 
 use super::support::{
     Harness, RECORD, answer, gather, millis, peer, route, service, two_servers_each,
@@ -31,7 +31,7 @@
     }
 }
 
-fn learnt(records: &[CrashRecord]) -> Quarantine {
+fn quarantine_with(records: &[CrashRecord]) -> Quarantine {
     let mut quarantine = Quarantine::new(QuarantineParameters::default());
     for record in records {
         quarantine.learnt(Timestamp::ZERO, &mut VecDeque::new(), record);
@@ -39,8 +39,8 @@
     quarantine
 }
 
-/// A node with a search over six shards of two servers each.
-fn node() -> Harness {
+/// Gateway with a gather over six shards of two servers each.
+fn gather_gateway() -> Harness {
     let search = route("/search/", gather(&SHARDS, 0.8), Repeatability::Repeatable);
     let servers = two_servers_each(&SHARDS);
     let servers: Vec<(&str, &str)> = servers
@@ -50,7 +50,7 @@
     Harness::serving(vec![search], &servers)
 }
 
-fn breaks(harness: &mut Harness, attempt: thornbridge_proto::AttemptId) {
+fn fail_attempt(harness: &mut Harness, attempt: thornbridge_proto::AttemptId) {
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed { attempt, failure });
 }
@@ -65,120 +65,130 @@
 }
 
 #[test]
-fn a_search_whose_servers_all_crash_goes_to_two_more_and_is_given_up() {
-    let mut harness = node();
+fn gather_that_crashes_all_shards_is_refused_after_canaries() {
+    let mut harness = gather_gateway();
     let caller = harness.ask("/search/1");
-    let mut broken = 0;
-    while let Some(sent) = harness.sent_for(caller).get(broken).cloned() {
-        breaks(&mut harness, sent.attempt);
-        broken += 1;
+    let mut failed = 0;
+    while let Some(sent) = harness.sent_for(caller).get(failed).cloned() {
+        fail_attempt(&mut harness, sent.attempt);
+        failed += 1;
         harness.wait(millis(1));
     }
-    assert_eq!(broken, SHARDS.len() + 2);
-    let crashes = RefusalReason::CrashesServers;
-    let expected = Some((crashes, RefusalPromise::MayHaveRun));
+    assert_eq!(failed, SHARDS.len() + 2);
+    let reason = RefusalReason::CrashesServers;
+    let expected = Some((reason, RefusalPromise::MayHaveRun));
     assert_eq!(refusal(&harness, caller), expected);
 }
 
-/// A request that ran beside one that crashes servers, three times, is not refused for it.
 #[test]
-fn crashes_that_another_request_explains_leave_one_server_at_a_time() {
-    let told = |fingerprint, instances: &[u8]| CrashRecord {
+fn request_whose_crashes_another_explains_is_not_refused() {
+    let crash_record = |fingerprint, instances: &[u8]| CrashRecord {
         fingerprint: Fingerprint(fingerprint),
         ..record(instances, false)
     };
-    let beside = learnt(&[told(1, &[1, 2, 3, 4]), told(2, &[2, 3, 4])]);
+    let explained = quarantine_with(&[crash_record(1, &[1, 2, 3, 4]), crash_record(2, &[2, 3, 4])]);
     let caution = |quarantine: &Quarantine, fingerprint| {
         quarantine.caution(Timestamp::ZERO, Fingerprint(fingerprint))
     };
-    assert_eq!(caution(&beside, 1), Caution::Refuse);
-    assert_eq!(caution(&beside, 2), Caution::OneAtATime);
-    let both = learnt(&[told(1, &[1, 2, 3, 4]), told(2, &[2, 3, 5])]);
-    assert_eq!(caution(&both, 2), Caution::Refuse);
-    let alike = learnt(&[told(1, &[1, 2, 3]), told(2, &[1, 2, 3])]);
-    assert_eq!(caution(&alike, 1), Caution::Refuse);
-    assert_eq!(caution(&alike, 2), Caution::Refuse);
+    assert_eq!(caution(&explained, 1), Caution::Refuse);
+    assert_eq!(caution(&explained, 2), Caution::OneAtATime);
+    let independent =
+        quarantine_with(&[crash_record(1, &[1, 2, 3, 4]), crash_record(2, &[2, 3, 5])]);
+    assert_eq!(caution(&independent, 2), Caution::Refuse);
+    let identical = quarantine_with(&[crash_record(1, &[1, 2, 3]), crash_record(2, &[1, 2, 3])]);
+    assert_eq!(caution(&identical, 1), Caution::Refuse);
+    assert_eq!(caution(&identical, 2), Caution::Refuse);
 }
 
 #[test]
-fn a_search_is_not_suspected_once_a_shard_answered() {
-    let mut harness = node();
+fn gather_is_not_suspected_after_a_shard_answered() {
+    let mut harness = gather_gateway();
     let caller = harness.ask("/search/1");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(RECORD));
     for attempt in &sent[1..] {
-        breaks(&mut harness, attempt.attempt);
+        fail_attempt(&mut harness, attempt.attempt);
     }
     harness.wait(millis(5));
-    let again = harness.sent_for(caller).len() - sent.len();
-    assert_eq!(again, sent.len() - 1, "all are sent again at once");
+    let retried = harness.sent_for(caller).len() - sent.len();
+    assert_eq!(
+        retried,
+        sent.len() - 1,
+        "failed parts were not all retried at once"
+    );
 }
 
 #[test]
-fn an_answer_clears_it_while_it_is_tested() {
-    let mut harness = node();
+fn answer_while_probing_clears_request() {
+    let mut harness = gather_gateway();
     let caller = harness.ask("/search/1");
     let sent = harness.sent_for(caller);
     for attempt in &sent {
-        breaks(&mut harness, attempt.attempt);
+        fail_attempt(&mut harness, attempt.attempt);
     }
-    let tested = harness.sent_for(caller);
-    assert_eq!(tested.len(), sent.len() + 1, "one at a time");
-    harness.reply(tested[sent.len()].attempt, answer(RECORD));
+    let attempts = harness.sent_for(caller);
+    assert_eq!(
+        attempts.len(),
+        sent.len() + 1,
+        "more than one attempt while probing"
+    );
+    harness.reply(attempts[sent.len()].attempt, answer(RECORD));
     harness.wait(millis(5));
     assert_eq!(harness.sent_for(caller).len(), 2 * sent.len());
 }
 
 #[test]
-fn a_request_that_peers_told_of_is_refused_as_not_run() {
-    let mut harness = node();
+fn request_quarantined_by_peers_is_refused_as_not_run() {
+    let mut harness = gather_gateway();
     let fingerprint = Fingerprint(1);
-    let told = CrashRecord {
+    let received = CrashRecord {
         fingerprint,
         ..record(&[1, 2, 3], false)
     };
-    harness.quarantine_message(peer(1), vec![told]);
+    harness.quarantine_message(peer(1), vec![received]);
     let caller = harness.ask("/search/1");
-    let crashes = RefusalReason::CrashesServers;
-    let expected = Some((crashes, RefusalPromise::NotRun));
+    let reason = RefusalReason::CrashesServers;
+    let expected = Some((reason, RefusalPromise::NotRun));
     assert_eq!(refusal(&harness, caller), expected);
     assert!(harness.sent_for(caller).is_empty());
-    let back = harness.comes_back(caller).expect("a time to come back");
-    assert!(back > Duration::from_secs(170), "{back:?}");
+    let retry_after = harness
+        .comes_back(caller)
+        .expect("refusal without retry_after");
+    assert!(retry_after > Duration::from_secs(170), "{retry_after:?}");
 }
 
 #[test]
-fn crashes_that_two_nodes_saw_are_added_up() {
-    let quarantine = learnt(&[record(&[1, 2], false), record(&[2, 3], false)]);
+fn crashes_seen_by_two_nodes_are_aggregated() {
+    let quarantine = quarantine_with(&[record(&[1, 2], false), record(&[2, 3], false)]);
     let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
     assert_eq!(caution, Caution::Refuse);
 }
 
 #[test]
-fn one_server_may_get_it_when_it_was_kept_for_long_enough() {
-    let mut quarantine = learnt(&[record(&[1, 2, 3], false)]);
+fn expired_quarantine_allows_one_server_at_a_time() {
+    let mut quarantine = quarantine_with(&[record(&[1, 2, 3], false)]);
     let kept = QuarantineParameters::default().kept;
     let mut random = rand::SeedableRng::seed_from_u64(1);
     let later = Timestamp::ZERO + kept;
     quarantine.timer_due(later, &mut random, &mut VecDeque::new());
     assert_eq!(quarantine.caution(later, REQUEST), Caution::OneAtATime);
     quarantine.crashed(later, REQUEST, &BackEndId::new("i-4"));
-    let tested = QuarantineParameters::default().testing;
-    let caution = quarantine.caution(later + tested, REQUEST);
+    let probing = QuarantineParameters::default().testing;
+    let caution = quarantine.caution(later + probing, REQUEST);
     assert_eq!(caution, Caution::Refuse);
 }
 
 #[test]
-fn a_flood_of_suspicions_pushes_no_quarantine_out() {
-    let mut quarantine = learnt(&[record(&[1, 2, 3], false)]);
-    let most = QuarantineParameters::default().records_maximum as u128;
-    for number in 0..2 * most {
+fn many_suspicions_do_not_evict_quarantine() {
+    let mut quarantine = quarantine_with(&[record(&[1, 2, 3], false)]);
+    let limit = QuarantineParameters::default().records_maximum as u128;
+    for number in 0..2 * limit {
         let now = Timestamp::ZERO + Duration::from_millis(number as u64);
         quarantine.crashed(now, Fingerprint(1_000 + number), &BackEndId::new("i-9"));
     }
     let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
     assert_eq!(caution, Caution::Refuse);
-    assert_eq!(quarantine.len() as u128, most);
+    assert_eq!(quarantine.len() as u128, limit);
 }
 
 fn records() -> impl Strategy<Value = Vec<CrashRecord>> {
@@ -189,77 +199,76 @@
 }
 
 proptest! {
-    /// Whatever order they come in, and how often: cleared by one answer, else refused from three
-    /// instances on.
+    /// The result of merging records does not depend on their order or repetition.
     #[test]
-    fn records_can_be_taken_in_any_order(told in records(), order in any::<u64>()) {
-        let mut mixed = told.clone();
-        mixed.extend(told.iter().cloned());
+    fn records_merge_in_any_order(received in records(), order in any::<u64>()) {
+        let mut mixed = received.clone();
+        mixed.extend(received.iter().cloned());
         let shift = order as usize % mixed.len();
         mixed.rotate_left(shift);
-        let distinct: BTreeSet<&BackEndId> = told.iter().flat_map(|told| &told.instances).collect();
-        let expected = match (told.iter().any(|told| told.cleared), distinct.len()) {
+        let distinct: BTreeSet<&BackEndId> = received.iter().flat_map(|record| &record.instances).collect();
+        let expected = match (received.iter().any(|record| record.cleared), distinct.len()) {
             (true, _) => Caution::None,
             (false, 0..3) => Caution::OneAtATime,
             (false, _) => Caution::Refuse,
         };
-        let quarantine = learnt(&mixed);
+        let quarantine = quarantine_with(&mixed);
         prop_assert_eq!(quarantine.caution(Timestamp::ZERO, REQUEST), expected);
     }
 }
 
 #[test]
-fn a_plain_request_is_sent_to_one_server_at_a_time_after_a_crash() {
+fn plain_request_goes_to_one_server_at_a_time_after_crash() {
     let plain = route("/one/", service("plain"), Repeatability::Repeatable);
     let servers = [("p-0", "plain"), ("p-1", "plain"), ("p-2", "plain")];
     let mut harness = Harness::serving(vec![plain], &servers);
     let caller = harness.ask("/one/1");
     let first = harness.sent_for(caller)[0].attempt;
-    breaks(&mut harness, first);
+    fail_attempt(&mut harness, first);
     harness.wait(millis(1_000));
     assert_eq!(
         harness.sent_for(caller).len(),
         2,
-        "no second attempt beside it"
+        "hedged although a server crashed under the request"
     );
 }
 
-/// Many callers send the same; all servers end at one moment.
+/// Many callers send the same request while all servers stop at once.
 #[test]
-fn a_request_that_was_answered_lately_is_not_suspected() {
-    let mut quarantine = learnt(&[]);
+fn recently_answered_request_is_not_suspected() {
+    let mut quarantine = quarantine_with(&[]);
     let answered = Timestamp::ZERO + Duration::from_secs(1);
     quarantine.answered(answered, REQUEST);
-    let soon = answered + Duration::from_secs(2);
+    let crashed_at = answered + Duration::from_secs(2);
     for index in 0..5 {
-        quarantine.crashed(soon, REQUEST, &BackEndId::new(format!("i-{index}")));
+        quarantine.crashed(crashed_at, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
-    assert_eq!(quarantine.caution(soon, REQUEST), Caution::None);
+    assert_eq!(quarantine.caution(crashed_at, REQUEST), Caution::None);
 }
 
 #[test]
-fn a_request_that_was_answered_long_ago_may_crash_servers_now() {
-    let mut quarantine = learnt(&[record(&[1], true)]);
+fn request_answered_long_ago_is_quarantined_after_crashes() {
+    let mut quarantine = quarantine_with(&[record(&[1], true)]);
     quarantine.answered(Timestamp::ZERO, REQUEST);
     let later = Timestamp::ZERO + QuarantineParameters::default().answered_lifetime;
     for index in 2..5 {
         quarantine.crashed(later, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
-    let tested = later + QuarantineParameters::default().testing;
-    assert_eq!(quarantine.caution(tested, REQUEST), Caution::Refuse);
+    let probing_ended = later + QuarantineParameters::default().testing;
+    assert_eq!(quarantine.caution(probing_ended, REQUEST), Caution::Refuse);
 }
 
 #[test]
-fn peers_are_believed_again_long_after_a_request_was_cleared() {
-    let mut quarantine = learnt(&[record(&[1], true)]);
+fn peer_record_is_accepted_long_after_clearance() {
+    let mut quarantine = quarantine_with(&[record(&[1], true)]);
     let later = Timestamp::ZERO + QuarantineParameters::default().answered_lifetime;
     quarantine.learnt(later, &mut VecDeque::new(), &record(&[2, 3, 4], false));
     assert_eq!(quarantine.caution(later, REQUEST), Caution::Refuse);
 }
 
 #[test]
-fn what_peers_tell_of_a_request_that_was_answered_lately_is_refuted() {
-    let mut quarantine = learnt(&[]);
+fn peer_record_of_recently_answered_request_is_ignored() {
+    let mut quarantine = quarantine_with(&[]);
     quarantine.answered(Timestamp::ZERO, REQUEST);
     quarantine.learnt(
         Timestamp::ZERO,
--- a/crates/thornbridge-core/src/gateway/tests/routing.rs
+++ b/crates/thornbridge-core/src/gateway/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, versions, and servers that come and go.
+//! Tests of routes, configuration versions and registry changes.
 
 use super::support::{Harness, answer, configuration, gather, instance, millis, route, service};
 use crate::gateway::{GatewayAnswer, RefusalPromise, SourceFailure, ViewKind, ViewObject};
@@ -7,13 +7,13 @@
 use thornbridge_proto::peer::view::{InstanceState, StoreRevision};
 use thornbridge_proto::{BackEndId, ServiceName};
 
-fn one_service() -> Harness {
+fn gateway_with_two_servers() -> Harness {
     let routes = vec![route("/", service("s"), Repeatable)];
     Harness::serving(routes, &[("s1", "s"), ("s2", "s")])
 }
 
 #[test]
-fn the_longest_prefix_that_fits_wins() {
+fn longest_matching_prefix_wins() {
     let routes = vec![
         route("/", service("s"), Repeatable),
         route("/long/", service("t"), Repeatable),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_no_route_allows_is_not_found() {
+fn request_without_route_is_not_found() {
     let routes = vec![route("/only/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s")]);
     let caller = harness.ask("/other/x");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn without_a_configuration_callers_wait_and_are_then_told_to_come_back() {
+fn request_waits_for_configuration_then_gets_retry_after() {
     let mut harness = Harness::started();
     let caller = harness.ask("/x");
     harness.wait(millis(500));
@@ -43,16 +43,19 @@
     let Some(GatewayAnswer::Refused { retry_after, .. }) = harness.answers.get(&caller) else {
         panic!("{:?}", harness.answers);
     };
-    let after = retry_after.expect("a time to come back");
-    assert!(after > millis(50) && after < millis(1_000), "{after:?}");
+    let retry_after = retry_after.expect("refusal without retry_after");
+    assert!(
+        retry_after > millis(50) && retry_after < millis(1_000),
+        "{retry_after:?}"
+    );
 }
 
 #[test]
-fn a_leaving_server_gets_nothing_new() {
-    let mut harness = one_service();
-    let leaving = instance("s1", "s", InstanceState::Draining);
-    let leaving = ViewObject::Instance(StoreRevision::without_era(60), leaving);
-    harness.changes(ViewKind::Registry, vec![leaving], 60);
+fn draining_server_gets_no_requests() {
+    let mut harness = gateway_with_two_servers();
+    let draining = instance("s1", "s", InstanceState::Draining);
+    let draining = ViewObject::Instance(StoreRevision::without_era(60), draining);
+    harness.changes(ViewKind::Registry, vec![draining], 60);
     for _ in 0..20 {
         let caller = harness.ask("/x");
         let sent = harness.sent_for(caller);
@@ -62,15 +65,16 @@
 }
 
 #[test]
-fn a_server_whose_entry_vanished_is_a_last_choice_for_a_while() {
-    let mut harness = one_service();
-    let gone = |id: &str| ViewObject::Departed(StoreRevision::without_era(60), BackEndId::new(id));
-    harness.changes(ViewKind::Registry, vec![gone("s1")], 60);
+fn removed_server_is_used_as_last_resort_during_grace_period() {
+    let mut harness = gateway_with_two_servers();
+    let removed =
+        |id: &str| ViewObject::Departed(StoreRevision::without_era(60), BackEndId::new(id));
+    harness.changes(ViewKind::Registry, vec![removed("s1")], 60);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     assert_eq!(sent[0].instance, "s2");
     harness.wait(millis(400));
-    harness.changes(ViewKind::Registry, vec![gone("s2")], 61);
+    harness.changes(ViewKind::Registry, vec![removed("s2")], 61);
     let caller = harness.ask("/x");
     assert_eq!(harness.sent_for(caller).len(), 1);
     harness.wait(millis(2_000));
@@ -80,8 +84,8 @@
 }
 
 #[test]
-fn an_older_version_is_never_put_in_force() {
-    let mut harness = one_service();
+fn older_configuration_is_not_activated() {
+    let mut harness = gateway_with_two_servers();
     let newer = configuration(9, vec![route("/nine/", service("s"), Repeatable)]);
     harness.changes(
         ViewKind::Configuration,
@@ -100,13 +104,13 @@
 }
 
 #[test]
-fn a_version_with_new_shards_waits_for_connections_but_not_for_long() {
+fn configuration_with_new_shards_is_activated_within_staging_time() {
     let routes = vec![route("/", gather(&["a"], 0.5), Repeatable)];
     let mut harness = Harness::serving(routes, &[("a1", "a")]);
-    let moved = configuration(2, vec![route("/", gather(&["b"], 0.5), Repeatable)]);
+    let replacement = configuration(2, vec![route("/", gather(&["b"], 0.5), Repeatable)]);
     harness.changes(
         ViewKind::Configuration,
-        vec![ViewObject::Configuration(moved)],
+        vec![ViewObject::Configuration(replacement)],
         60,
     );
     harness.wait(millis(900));
@@ -114,12 +118,12 @@
 }
 
 #[test]
-fn wrong_configurations_are_kept_out() {
-    let mut harness = one_service();
-    let wrong = configuration(2, vec![route("/", gather(&["a"], 0.5), AtMostOnce)]);
+fn invalid_configuration_is_rejected() {
+    let mut harness = gateway_with_two_servers();
+    let invalid = configuration(2, vec![route("/", gather(&["a"], 0.5), AtMostOnce)]);
     harness.changes(
         ViewKind::Configuration,
-        vec![ViewObject::Configuration(wrong)],
+        vec![ViewObject::Configuration(invalid)],
         60,
     );
     harness.wait(millis(1_000));
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn a_split_gives_each_part_its_share() {
+fn split_follows_weights() {
     let part = |name: &str, weight| WeightedService {
         service: ServiceName::new(name),
         weight,
@@ -135,19 +139,19 @@
     let split = RouteTarget::Split(vec![part("s", 3.0), part("t", 1.0)]);
     let routes = vec![route("/", split, Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("t1", "t")]);
-    let mut first = 0;
+    let mut sent_to_s1 = 0;
     for _ in 0..100 {
         let caller = harness.ask("/x");
         let sent = harness.sent_for(caller);
-        first += u32::from(sent[0].instance == "s1");
+        sent_to_s1 += u32::from(sent[0].instance == "s1");
         harness.reply(sent[0].attempt, answer(b""));
     }
-    assert_eq!(first, 75);
+    assert_eq!(sent_to_s1, 75);
 }
 
 #[test]
-fn history_that_is_gone_is_followed_by_a_list() {
-    let mut harness = one_service();
+fn compacted_history_triggers_list() {
+    let mut harness = gateway_with_two_servers();
     harness.source(ViewKind::Registry, Err(SourceFailure::HistoryGone));
     let third = instance("s3", "s", InstanceState::Ready);
     let objects = vec![ViewObject::Instance(StoreRevision::without_era(70), third)];
@@ -161,10 +165,10 @@
     }
 }
 
-/// Found by these tests: a node that found nobody wanted a list of machines that nobody gave it,
-/// and its timer was due again at once, for ever.
+/// Guards against a timer that is due again immediately because the machine list, which a gateway
+/// does not have, is requested over and over.
 #[test]
-fn a_node_alone_rests_between_its_timers() {
+fn single_node_does_not_spin_on_timers() {
     let mut harness = Harness::started();
     harness.wait(millis(60_000));
     assert!(harness.timers < 1_000, "{} timers", harness.timers);
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -1,4 +1,4 @@
-//! A gateway with a configuration and servers, and what it wants done.
+//! Test harness: a gateway with configuration and servers that records its actions.
 
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::gateway::{
@@ -25,10 +25,10 @@
     AttemptId, BackEndId, Incarnation, NodeId, NodeName, RegionName, ServiceName, ZoneName,
 };
 
-/// The only record of a part.
+/// Record returned by every shard.
 pub const RECORD: &[u8] = b"0000000000000001";
 
-/// An attempt that the gateway sent.
+/// Attempt sent by the gateway.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub attempt: AttemptId,
@@ -38,32 +38,32 @@
     pub patience: Duration,
 }
 
-/// A gateway whose connections open at once.
+/// Gateway under test. Connections open at once; other actions are recorded.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Timestamp,
     pub sent: Vec<SentAttempt>,
     pub answers: BTreeMap<CallerId, GatewayAnswer>,
     pub reads: Vec<(ViewKind, u64)>,
-    /// Tasks for owners of slices, and to whom they went.
+    /// Slice tasks and the owners that they were sent to.
     pub tasks: Vec<(SocketAddr, SliceTask)>,
-    /// Messages about slices to peers.
+    /// Slice messages sent to peers.
     pub slice_messages: Vec<(SocketAddr, SliceMessage)>,
-    /// Relayed requests that were released.
+    /// Relayed requests that were dropped.
     pub released: Vec<CallerId>,
     pub closed: Vec<ConnectionId>,
-    /// Where connections were opened to, in order.
+    /// Addresses of opened connections, in order.
     pub opened: Vec<SocketAddr>,
-    /// Connections that were opened and not closed since.
+    /// Connections that are currently open.
     pub open: Vec<ConnectionId>,
-    /// Connections that their server resets a moment after they opened.
-    refusals_left: u32,
-    /// Timers that fired.
+    /// Number of further connections to reset right after they open.
+    resets_left: u32,
+    /// Number of timer events.
     pub timers: u32,
     next_caller: u64,
 }
 
-/// One of the other nodes.
+/// Endpoint of another node.
 pub fn peer(number: u8) -> PeerEndpoint {
     PeerEndpoint {
         node: NodeId(100 + u64::from(number)),
@@ -113,11 +113,11 @@
     })
 }
 
-/// Two servers for each shard, named by it, with the shard.
+/// Ids of two servers per shard, each with its shard.
 pub fn two_servers_each<'a>(shards: &[&'a str]) -> Vec<(String, &'a str)> {
     let servers = shards.iter().copied();
-    let copies = |shard| (0..2).map(move |copy| (format!("{shard}-{copy}"), shard));
-    servers.flat_map(copies).collect()
+    let replicas = |shard| (0..2).map(move |replica| (format!("{shard}-{replica}"), shard));
+    servers.flat_map(replicas).collect()
 }
 
 pub fn service(name: &str) -> RouteTarget {
@@ -143,7 +143,7 @@
 }
 
 impl Harness {
-    /// A gateway that has started and knows nothing.
+    /// Starts a gateway without configuration and registry.
     pub fn started() -> Self {
         let mut parameters = GatewayParameters::default();
         parameters.budget.ratio = 0.5;
@@ -177,7 +177,7 @@
             closed: Vec::new(),
             opened: Vec::new(),
             open: Vec::new(),
-            refusals_left: 0,
+            resets_left: 0,
             timers: 0,
             next_caller: 0,
         };
@@ -185,7 +185,7 @@
         harness
     }
 
-    /// A gateway that knows these routes and servers.
+    /// Starts a gateway and loads these routes and servers.
     pub fn serving(routes: Vec<Route>, servers: &[(&str, &str)]) -> Self {
         let mut harness = Self::started();
         let instances = servers.iter().enumerate().map(|(index, (id, service))| {
@@ -202,11 +202,11 @@
     pub fn event(&mut self, event: GatewayEvent) {
         self.gateway.handle(self.now, event);
         while let Some(action) = self.gateway.poll_action() {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: GatewayAction) {
+    fn execute(&mut self, action: GatewayAction) {
         match action {
             GatewayAction::Open {
                 connection,
@@ -216,9 +216,9 @@
                 let took = millis(1);
                 self.open.push(connection);
                 self.event(GatewayEvent::ConnectionOpened { connection, took });
-                if self.refusals_left > 0 {
-                    self.refusals_left -= 1;
-                    self.lose(connection);
+                if self.resets_left > 0 {
+                    self.resets_left -= 1;
+                    self.close_by_server(connection);
                 }
             }
             GatewayAction::Close { connection } => {
@@ -256,7 +256,8 @@
         }
     }
 
-    /// Makes this node one of several on this share of a core, with extra attempts to spare.
+    /// Adds peers and sets the processor share, so that gathers are sliced; the budget of extra
+    /// attempts is large.
     pub fn shares_gathers(&mut self, processor_share: f64, peers: u8) {
         let mut parameters = GatewayParameters::default();
         parameters.fit_processor(processor_share);
@@ -265,11 +266,11 @@
         parameters.budget.settling_windows = 0.0;
         let parameters = Box::new(parameters);
         self.event(GatewayEvent::Reconfigured { parameters });
-        self.joined_by(peers);
+        self.add_peers(peers);
         self.wait(millis(300));
     }
 
-    /// No extra attempt is allowed from now on.
+    /// Sets the budget of extra attempts to zero.
     pub fn without_budget(&mut self) {
         let mut parameters = GatewayParameters::default();
         parameters.budget.ratio = 0.0;
@@ -278,8 +279,8 @@
         self.event(GatewayEvent::Reconfigured { parameters });
     }
 
-    /// Other members join this node; they never answer a probe.
-    fn joined_by(&mut self, peers: u8) {
+    /// Adds peers, which never answer probes.
+    fn add_peers(&mut self, peers: u8) {
         for number in 1..=peers {
             let endpoint = peer(number);
             let member = MemberRecord {
@@ -299,28 +300,28 @@
         }
     }
 
-    /// A peer sends a message about a slice.
+    /// Delivers a slice message from a peer.
     pub fn slice_message(&mut self, from: PeerEndpoint, message: SliceMessage) {
         let message = PeerMessage::Slice(message);
         self.event(GatewayEvent::PeerMessage { from, message });
     }
 
-    /// A peer tells of requests under which servers crashed.
+    /// Delivers crash records from a peer.
     pub fn quarantine_message(&mut self, from: PeerEndpoint, records: Vec<CrashRecord>) {
         let message = PeerMessage::Quarantine(QuarantineMessage { records });
         self.event(GatewayEvent::PeerMessage { from, message });
     }
 
-    /// The servers reset this many of the next connections right after they opened.
+    /// Resets the given number of next connections right after they open.
     pub fn refuse_next(&mut self, connections: u32) {
-        self.refusals_left = connections;
+        self.resets_left = connections;
     }
 
-    fn lose(&mut self, connection: ConnectionId) {
+    fn close_by_server(&mut self, connection: ConnectionId) {
         self.open.retain(|other| *other != connection);
-        // A connection breaks under the attempt that was written to it.
-        let mut sent = self.sent.iter();
-        let event = match sent.rfind(|sent| sent.connection == connection) {
+        // A connection with an attempt fails the attempt; only an idle one is reported as lost.
+        let mut attempts = self.sent.iter();
+        let event = match attempts.rfind(|sent| sent.connection == connection) {
             Some(sent) => GatewayEvent::Failed {
                 attempt: sent.attempt,
                 failure: ExchangeFailure::MayHaveRun,
@@ -330,7 +331,7 @@
         self.event(event);
     }
 
-    /// Answers the read of a view under way with a whole list.
+    /// Answers the pending read of a view with a complete list.
     pub fn list(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
         let reply = SourceReply::Page {
             objects,
@@ -340,12 +341,13 @@
         self.source(kind, Ok(reply));
     }
 
-    /// Answers the watch of a view under way.
+    /// Answers the pending watch of a view with changes.
     pub fn changes(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
         let at = StoreRevision::without_era(at);
         self.source(kind, Ok(SourceReply::Changes { objects, at }));
     }
 
+    /// Answers the pending read of a view.
     pub fn source(
         &mut self,
         kind: ViewKind,
@@ -353,11 +355,11 @@
     ) {
         let reads = self.reads.iter();
         let read = reads.copied().find(|(other, _)| *other == kind);
-        let (_, read) = read.expect("a read under way");
+        let (_, read) = read.expect("no pending read of this view");
         self.event(GatewayEvent::SourceReplied { kind, read, result });
     }
 
-    /// Lets time pass, firing what is due.
+    /// Advances time and fires due timers.
     pub fn wait(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(due) = self.gateway.next_timeout()
@@ -365,7 +367,7 @@
         {
             self.now = self.now.max(due);
             self.timers += 1;
-            assert!(self.timers < 100_000, "timers are due again and again");
+            assert!(self.timers < 100_000, "more than 100,000 timer events");
             self.event(GatewayEvent::TimerDue);
             self.now = self.now + Duration::from_micros(10);
         }
@@ -376,7 +378,7 @@
         self.ask_with(path, millis(2_000))
     }
 
-    /// A request whose caller waits this long.
+    /// Sends a request whose caller waits for `patience`.
     pub fn ask_with(&mut self, path: &str, patience: Duration) -> CallerId {
         self.next_caller += 1;
         let caller = CallerId(self.next_caller);
@@ -392,7 +394,7 @@
         caller
     }
 
-    /// When a refused caller is to come back.
+    /// Time after which a refused caller may retry.
     pub fn comes_back(&self, caller: CallerId) -> Option<Duration> {
         match self.answers.get(&caller) {
             Some(GatewayAnswer::Refused { retry_after, .. }) => *retry_after,
@@ -400,7 +402,7 @@
         }
     }
 
-    /// The attempts of a caller that were sent.
+    /// Attempts sent for a caller's request.
     pub fn sent_for(&self, caller: CallerId) -> Vec<SentAttempt> {
         let sent = self.sent.iter().filter(|sent| sent.caller == caller);
         sent.cloned().collect()
@@ -440,7 +442,7 @@
     }
 }
 
-/// Answers every attempt, and those that were sent when others ended.
+/// Answers all attempts, including those sent in response to earlier answers.
 pub fn answer_all(harness: &mut Harness) {
     let mut answered = 0;
     while let Some(sent) = harness.sent.get(answered) {
