--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -60,7 +60,7 @@
     let bodies = replies.map(|reply| &reply.body).chain(reports);
     GatewayAnswer::Gathered {
         signatures,
-        missing: progress.all - progress.answered,
+        missing: progress.total - progress.answered,
         records: greatest_records(bodies, gather.records),
     }
 }
@@ -211,7 +211,7 @@
     ) {
         let progress = request.progress();
         let mut notable = request.notes.clone();
-        self.add_open_attempts(scope, request, &mut notable);
+        self.add_unfinished_attempts(scope, request, &mut notable);
         let note = RequestNote {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
@@ -221,7 +221,7 @@
             took: scope.now.since(request.arrived),
             objective: request.soft_deadline.since(request.arrived),
             parts: progress.answered,
-            of: progress.all,
+            of: progress.total,
             outcome,
             notable,
             attempts: request.parts.iter().map(|part| part.sent as usize).sum(),
@@ -234,7 +234,7 @@
         scope.actions.push_back(GatewayAction::Finished(note));
     }
 
-    fn add_open_attempts(
+    fn add_unfinished_attempts(
         &self,
         scope: &Scope<'_>,
         request: &Request,
--- a/crates/thornbridge-core/src/gateway/exchange/crash_suspects.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/crash_suspects.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether the request is to be given up.
-    pub(super) fn is_abandoned_under(&self, caution: Caution) -> bool {
+    pub(super) fn should_give_up(&self, caution: Caution) -> bool {
         match caution {
             Caution::None | Caution::OneAtATime => false,
             Caution::NoMore => !self.has_attempt_in_flight(),
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempt;
 use super::part::PartState;
 use super::request::Request;
-use super::{AttemptTarget, Exchanges, Scope, repeatable};
+use super::{AttemptTarget, Exchanges, Scope, is_repeatable};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
@@ -51,10 +51,10 @@
         let look_interval = self.parameters.look_interval;
         let Some(choice) = self.choose(scope, request, index) else {
             let settling = scope.now.since_epoch() < self.parameters.settling;
-            let waits = settling || request.is_caller_retry();
+            let may_wait = settling || request.is_caller_retry();
             let part = &mut request.parts[index];
             let evacuated = scope.servers.is_evacuated(part.service);
-            let may_register = part.sent == 0 && waits && !evacuated;
+            let may_register = part.sent == 0 && may_wait && !evacuated;
             if may_register || scope.servers.has_other_server(part.service, &part.tried) {
                 // A server may register or become reachable.
                 part.check_at = Some(scope.now + look_interval * 2);
@@ -132,10 +132,10 @@
             return true;
         }
         request.budget_denials += 1;
-        let waits = request.is_gather() || request.is_caller_retry();
+        let may_wait = request.is_gather() || request.is_caller_retry();
         let part = &mut request.parts[index];
         part.budget_denied = true;
-        if waits || !part.in_flight.is_empty() {
+        if may_wait || !part.in_flight.is_empty() {
             part.check_at = Some(scope.now + self.parameters.look_interval * 4);
         } else {
             part.state = PartState::Failed;
@@ -173,7 +173,7 @@
         };
         self.attempts.insert(attempt, record);
         let hedge_at = scope.now + self.hedge_delay(scope, request, target.server);
-        let may_hedge = repeatable(&request.route);
+        let may_hedge = is_repeatable(&request.route);
         let part = &mut request.parts[index];
         part.state = PartState::InFlight;
         part.in_flight.push(attempt);
@@ -226,9 +226,9 @@
         let part = &request.parts[index];
         let max_attempts = request.max_attempts;
         let possible_runs = part.possible_runs();
-        let within =
+        let below_limit =
             possible_runs < max_attempts && part.sent < max_attempts + MAX_UNCOUNTED_ATTEMPTS;
-        within && (possible_runs == 0 || repeatable(&request.route))
+        below_limit && (possible_runs == 0 || is_repeatable(&request.route))
     }
 
     pub(super) fn choose(
@@ -265,20 +265,20 @@
         server.round_trip() + work.mul_f64(speed)
     }
 
-    /// Sends queued parts while a server has idle connections.
+    /// Sends parts queued for a server while it has idle connections.
     pub(super) fn dispatch_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
         loop {
             let Some(server) = scope.servers.get(key) else {
                 return;
             };
-            let accepts = server.takes_requests();
-            if accepts && server.resting.is_empty() {
+            let accepts_requests = server.takes_requests();
+            if accepts_requests && server.resting.is_empty() {
                 return;
             }
             let Some(waiting) = scope.servers.next_waiting(scope.now, key) else {
                 return;
             };
-            self.dispatch_one_waiting(scope, key, waiting, accepts);
+            self.dispatch_one_waiting(scope, key, waiting, accepts_requests);
         }
     }
 
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -232,7 +232,7 @@
         if caution == Caution::None {
             self.advance_slices(scope, &mut request);
         }
-        if request.is_abandoned_under(caution) {
+        if request.should_give_up(caution) {
             self.give_up(scope, request);
             return;
         }
@@ -297,7 +297,7 @@
         statistics.patience.observe(patience);
         let spent = statistics.patience.spent(patience);
         let caller_try = statistics.patience.judge(patience);
-        let way = match head.first_on_connection {
+        let round_trip = match head.first_on_connection {
             true => parameters.caller_delay * 4,
             false => parameters.caller_delay * 2,
         };
@@ -306,7 +306,7 @@
         // Requests are queued on their way in for as long as answers on their way out.
         let delay = (self.answer_delay.reserve() * ANSWER_DELAY_FACTOR).min(reserve);
         let margin = parameters.answer_margin + delay;
-        let soft_deadline_in = objective.saturating_sub(way + margin + spent);
+        let soft_deadline_in = objective.saturating_sub(round_trip + margin + spent);
         let deadline_in = patience
             .saturating_sub(parameters.caller_delay * 2)
             .min(route.route.time_limit);
@@ -351,15 +351,15 @@
         true => scope.servers.has_server(**key),
         false => !scope.servers.is_evacuated(**key),
     });
-    let (least, reason) = match &route.target {
+    let (required, reason) = match &route.target {
         ResolvedTarget::Gather(gather) => (gather.least_parts, RefusalReason::TooFewShards),
         ResolvedTarget::Service(_) | ResolvedTarget::Split(_) => (1, RefusalReason::NoServer),
     };
-    (served.count() < least).then_some(reason)
+    (served.count() < required).then_some(reason)
 }
 
 /// Whether requests of a route may run more than once.
-fn repeatable(route: &ResolvedRoute) -> bool {
+fn is_repeatable(route: &ResolvedRoute) -> bool {
     route.route.repeatability == Repeatability::Repeatable
 }
 
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -22,7 +22,7 @@
 }
 
 impl Exchanges {
-    /// Handles a task that could not be sent as refused.
+    /// Treats a task that could not be sent as refused.
     pub(in crate::gateway) fn task_not_sent(
         &mut self,
         scope: &mut Scope<'_>,
@@ -165,11 +165,11 @@
 ) {
     let slice = &mut request.slices[sender.index];
     let shards = slice.shards();
-    let request_position = |position: u16| shards.start + usize::from(position);
+    let index_in_request = |position: u16| shards.start + usize::from(position);
     let answered = report.answered.iter();
     let answered = answered.map(|(position, signature)| {
         let signature = Bytes::copy_from_slice(signature.as_slice());
-        (request_position(*position), signature)
+        (index_in_request(*position), signature)
     });
     let answered: Vec<(usize, Bytes)> = answered
         .filter(|(position, _)| *position < shards.end)
@@ -195,7 +195,7 @@
     // One attempt is left per shard; any other owner may have used the rest.
     let prior_attempts = request.max_attempts.saturating_sub(1);
     for (position, failure) in report.failed {
-        let position = request_position(position);
+        let position = index_in_request(position);
         let part = request.parts.get_mut(position);
         if let Some(part) = part.filter(|part| position < shards.end && !part.is_finished()) {
             part.apply_owner_failure(failure, prior_attempts);
@@ -206,7 +206,7 @@
 /// Selects the owner that answered most shards of a slice as its source.
 fn choose_source(request: &mut Request, sender: &Sender) {
     let slice = &mut request.slices[sender.index];
-    let count = |id: SliceId| {
+    let answered_count = |id: SliceId| {
         let delegation = slice
             .delegations
             .iter()
@@ -214,7 +214,7 @@
         delegation.map_or(0, |delegation| delegation.answered.len())
     };
     let previous = slice.source.filter(|source| *source != sender.id);
-    if previous.is_some_and(|source| count(source) >= count(sender.id)) {
+    if previous.is_some_and(|source| answered_count(source) >= answered_count(sender.id)) {
         return;
     }
     slice.source = Some(sender.id);
--- a/crates/thornbridge-core/src/gateway/exchange/request.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/request.rs
@@ -49,7 +49,7 @@
 /// Number of parts by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Progress {
-    pub(super) all: usize,
+    pub(super) total: usize,
     pub(super) answered: usize,
     pub(super) failed: usize,
 }
@@ -57,14 +57,14 @@
 impl Progress {
     /// Parts that may still answer.
     pub(super) fn pending(self) -> usize {
-        self.all - self.answered - self.failed
+        self.total - self.answered - self.failed
     }
 }
 
 impl Request {
     pub(super) fn progress(&self) -> Progress {
         let mut progress = Progress {
-            all: self.parts.len(),
+            total: self.parts.len(),
             ..Progress::default()
         };
         for part in &self.parts {
@@ -85,8 +85,8 @@
 
     /// Whether any server may have run a part.
     pub(super) fn may_have_run(&self) -> bool {
-        let parts = self.parts.iter().any(|part| part.possible_runs() > 0);
-        parts || self.slices.iter().any(|slice| slice.granted_attempts > 0)
+        let any_part = self.parts.iter().any(|part| part.possible_runs() > 0);
+        any_part || self.slices.iter().any(|slice| slice.granted_attempts > 0)
     }
 
     /// Number of parts that only silent owners could answer.
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// Delegations that may still be reported on.
+    /// Delegations whose owner may still report.
     pub(super) fn open_delegations(&self) -> impl Iterator<Item = &Delegation> {
         self.delegations
             .iter()
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -118,15 +118,15 @@
         });
         let parts: Vec<Part> = parts.collect();
         let now = scope.now;
-        let after = |micros: u64| now + Duration::from_micros(micros);
-        let deadline = after(task.ends_in_us);
+        let from_now = |micros: u64| now + Duration::from_micros(micros);
+        let deadline = from_now(task.ends_in_us);
         let request = Request {
             caller,
             id: task.request_id.clone(),
             fingerprint: task.fingerprint,
             arrived: now,
             caller_try: CallerTry::Unknown,
-            soft_deadline: after(task.report_in_us),
+            soft_deadline: from_now(task.report_in_us),
             deadline,
             check_at: deadline,
             notes: Vec::new(),
@@ -135,7 +135,7 @@
             origin: Origin::Coordinator(Coordinator {
                 address: coordinator,
                 slice: task.slice,
-                hedge_not_before: after(task.second_after_us),
+                hedge_not_before: from_now(task.second_after_us),
                 report_due: false,
                 grant: GrantState::from_task(&task),
                 last_report_at: None,
@@ -184,7 +184,7 @@
         request: &mut Request,
     ) -> bool {
         let finished = request.parts.iter().all(Part::is_finished) || scope.now >= request.deadline;
-        let due = scope.now >= request.soft_deadline;
+        let soft_deadline_passed = scope.now >= request.soft_deadline;
         let first_report_due = request
             .first_report_at()
             .is_some_and(|time| time <= scope.now);
@@ -195,7 +195,8 @@
             .parts
             .iter()
             .any(|part| part.is_finished() && !part.reported);
-        let late_report_due = due && has_unreported && coordinator.may_report_again(scope.now);
+        let late_report_due =
+            soft_deadline_passed && has_unreported && coordinator.may_report_again(scope.now);
         if finished || coordinator.report_due || first_report_due || late_report_due {
             report(scope, request, finished);
         }
@@ -290,7 +291,7 @@
         self.abandon_attempts(scope, &request, cancel_at);
         self.release_served_slice(scope, &request);
         let progress = request.progress();
-        let outcome = match progress.answered == progress.all {
+        let outcome = match progress.answered == progress.total {
             true => "slice",
             false => "slice_partial",
         };
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -31,7 +31,7 @@
 /// Decayed failures from which an owner is avoided; one failure lasts for one half-life.
 const AVOIDED_FAILURE_COUNT: f64 = 0.5;
 /// Longest suspension of division, in failure half-lives.
-const MAX_UNDIVIDED_FACTOR: u32 = 4;
+const MAX_SUSPENSION_FACTOR: u32 = 4;
 /// Decayed queue length from which an owner is busy and another one is preferred.
 const BUSY_OWNER_PARTS: f64 = 0.8;
 /// Half-life of a reported queue length.
@@ -64,9 +64,9 @@
     last_received: BTreeMap<SocketAddr, Timestamp>,
     next_slice_id: u64,
     /// End of the current suspension of division.
-    undivided_until: Timestamp,
+    suspended_until: Timestamp,
     /// Length of the last suspension; zero once most owners answer.
-    undivided_for: Duration,
+    last_suspension: Duration,
 }
 
 impl Slices {
@@ -88,8 +88,8 @@
             last_sent: BTreeMap::new(),
             last_received: BTreeMap::new(),
             next_slice_id: first_slice,
-            undivided_until: Timestamp::ZERO,
-            undivided_for: Duration::ZERO,
+            suspended_until: Timestamp::ZERO,
+            last_suspension: Duration::ZERO,
         }
     }
 
@@ -110,26 +110,26 @@
 
     /// Division plan of a route; `None` if its gathers are not divided now.
     pub(super) fn plan(&self, now: Timestamp, route: RouteKey) -> Option<Arc<Plan>> {
-        let suspended = now < self.undivided_until;
+        let suspended = now < self.suspended_until;
         self.plans.get(&route).filter(|_| !suspended).cloned()
     }
 
     /// Suspends division because most owners are silent, for longer each time in a row. Returns the
     /// length of the suspension, or `None` if one is in force.
     pub(super) fn suspend_division(&mut self, now: Timestamp) -> Option<Duration> {
-        if now < self.undivided_until {
+        if now < self.suspended_until {
             return None;
         }
-        let first_pause = self.parameters.failure_half_life;
-        self.undivided_for =
-            (self.undivided_for * 2).clamp(first_pause, first_pause * MAX_UNDIVIDED_FACTOR);
-        self.undivided_until = now + self.undivided_for;
-        Some(self.undivided_for)
+        let initial = self.parameters.failure_half_life;
+        self.last_suspension =
+            (self.last_suspension * 2).clamp(initial, initial * MAX_SUSPENSION_FACTOR);
+        self.suspended_until = now + self.last_suspension;
+        Some(self.last_suspension)
     }
 
     /// Ends the backoff of suspensions after a gather that most owners answered.
     pub(super) fn reset_division_backoff(&mut self) {
-        self.undivided_for = Duration::ZERO;
+        self.last_suspension = Duration::ZERO;
     }
 
     pub(super) fn heard_from(&mut self, now: Timestamp, member: SocketAddr) {
@@ -210,9 +210,9 @@
         if waiting < BUSY_OWNER_PARTS {
             return Some(first);
         }
-        let least = owners.min_by(|(left, _), (right, _)| left.total_cmp(right));
-        let least = least.filter(|(other, _)| *other < waiting);
-        Some(least.map_or(first, |(_, owner)| owner))
+        let shortest = owners.min_by(|(left, _), (right, _)| left.total_cmp(right));
+        let shortest = shortest.filter(|(other, _)| *other < waiting);
+        Some(shortest.map_or(first, |(_, owner)| owner))
     }
 
     /// Records the number of parts that an owner reported as queued.
@@ -248,9 +248,9 @@
 
     /// Time to reserve for the round trip to an owner and queueing on both nodes.
     pub(super) fn overhead(&self, objective: Duration) -> Duration {
-        let most = objective.mul_f64(self.parameters.overhead_share_maximum);
+        let limit = objective.mul_f64(self.parameters.overhead_share_maximum);
         match self.overhead.is_observed() {
-            true => self.overhead.reserve().min(most),
+            true => self.overhead.reserve().min(limit),
             false => objective.mul_f64(self.parameters.overhead_share_initial),
         }
     }
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -152,10 +152,14 @@
         let regions = &self.placement.regions;
         let region = Some(&self.placement.region);
         let in_region = |member: &&Sharer| regions.get(&member.zone) == region;
-        let near = |member: &&Sharer| zones.contains(&member.zone);
+        let nearby = |member: &&Sharer| zones.contains(&member.zone);
         let regional: Vec<&Sharer> = self.members.iter().filter(in_region).collect();
-        let found: Vec<&Sharer> = regional.iter().copied().filter(near).collect();
-        if found.is_empty() { regional } else { found }
+        let preferred: Vec<&Sharer> = regional.iter().copied().filter(nearby).collect();
+        if preferred.is_empty() {
+            regional
+        } else {
+            preferred
+        }
     }
 
     /// Owners in order of preference: those in this zone first, the rest in a node-specific order
@@ -164,8 +168,8 @@
         let own_hash = server_hash(&self.own_address.to_string());
         let mut owners: Vec<(bool, u64, SocketAddr)> = owners
             .map(|owner| {
-                let elsewhere = owner.zone != self.placement.zone;
-                (elsewhere, rank(owner.address, own_hash), owner.address)
+                let other_zone = owner.zone != self.placement.zone;
+                (other_zone, rank(owner.address, own_hash), owner.address)
             })
             .collect();
         owners.sort_unstable();
