--- a/crates/thornbridge-core/src/gateway/exchange/tests.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/tests.rs
@@ -7,7 +7,7 @@
 
 proptest! {
     #[test]
-    fn the_greatest_records_of_all_bodies_come_first(
+    fn greatest_records_of_all_bodies_come_first(
         bodies in prop::collection::vec(prop::collection::vec(0..3_u8, 0..100), 0..6),
         limit in 0..8_usize,
     ) {
--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -8,15 +8,15 @@
 const TWO: &[u8] = b"0000000000000002";
 const THREE: &[u8] = b"0000000000000003";
 
-fn sharded(least_share: f64) -> Harness {
+fn gather_over_three_shards(least_share: f64) -> Harness {
     let target = gather(&["a", "b", "c"], least_share);
     let servers = [("a1", "a"), ("b1", "b"), ("c1", "c")];
     Harness::serving(vec![route("/", target, Repeatable)], &servers)
 }
 
 #[test]
-fn a_gather_is_answered_when_all_parts_are_in() {
-    let mut harness = sharded(0.5);
+fn gather_is_answered_when_all_parts_answered() {
+    let mut harness = gather_over_three_shards(0.5);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     for (attempt, body) in sent.iter().zip([ONE, THREE, TWO]) {
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn a_gather_with_enough_parts_is_answered_when_it_is_due() {
-    let mut harness = sharded(0.6);
+fn gather_with_enough_parts_is_answered_at_soft_deadline() {
+    let mut harness = gather_over_three_shards(0.6);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_gather_with_too_few_parts_goes_on_after_it_is_due() {
-    let mut harness = sharded(0.9);
+fn gather_with_too_few_parts_continues_past_soft_deadline() {
+    let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn a_gather_that_cannot_have_enough_parts_is_given_up_at_once() {
-    let mut harness = sharded(0.9);
+fn gather_without_enough_reachable_parts_is_refused_at_once() {
+    let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, verdict(ReplyVerdict::Spoilt));
@@ -74,35 +74,38 @@
 }
 
 #[test]
-fn the_final_answer_comes_by_the_time_limit() {
-    let mut harness = sharded(0.9);
+fn request_is_refused_at_time_limit() {
+    let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     harness.wait(millis(1_001));
     assert_eq!(harness.refused(caller), Some(RefusalPromise::TimedOut));
-    // What still runs is cut off a moment later.
+    // Attempts in flight are cancelled after the grace period.
     harness.wait(millis(400));
     assert_eq!(harness.closed.len(), 3);
 }
 
 #[test]
-fn a_caller_that_leaves_has_its_attempts_cut_off() {
-    let mut harness = sharded(0.9);
+fn attempts_of_departed_caller_are_cancelled_after_grace() {
+    let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     harness.event(GatewayEvent::CallerGone { caller });
     harness.wait(millis(100));
-    assert!(harness.closed.is_empty(), "most end by themselves");
+    assert!(
+        harness.closed.is_empty(),
+        "cancelled before the grace period ended"
+    );
     harness.wait(millis(300));
     assert_eq!(harness.closed.len(), 3);
     assert!(!harness.answers.contains_key(&caller));
 }
 
 #[test]
-fn what_may_run_once_is_not_sent_again_after_it_may_have_run() {
+fn at_most_once_request_is_not_retried_after_possible_run() {
     let routes = vec![route("/", service("s"), AtMostOnce)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..4 {
-        let fine = harness.ask("/x");
-        let sent = harness.sent_for(fine);
+        let answered = harness.ask("/x");
+        let sent = harness.sent_for(answered);
         harness.reply(sent[0].attempt, answer(ONE));
     }
     let caller = harness.ask("/x");
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn what_certainly_did_not_run_is_sent_to_another_server() {
+fn rejected_request_is_retried_on_another_server() {
     for reply in [ReplyVerdict::NotRun, ReplyVerdict::WrongInstance] {
         let routes = vec![route("/", service("s"), AtMostOnce)];
         let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
@@ -133,8 +136,8 @@
 }
 
 #[test]
-fn a_late_answer_of_a_request_that_is_over_changes_nothing() {
-    let mut harness = sharded(0.3);
+fn late_reply_to_finished_request_is_ignored() {
+    let mut harness = gather_over_three_shards(0.3);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
@@ -145,8 +148,8 @@
 }
 
 #[test]
-fn servers_are_given_the_time_that_is_left() {
-    let mut harness = sharded(0.9);
+fn attempts_carry_remaining_time() {
+    let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     assert!(sent.iter().all(|sent| sent.patience <= millis(1_000)));
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn a_part_that_never_left_waits_for_a_connection_instead_of_failing() {
+fn unsent_part_waits_for_connection() {
     let routes = vec![route("/all/", gather(&["a", "b"], 1.0), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a"), ("i-2", "b")]);
     let caller = harness.ask("/all/x");
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn a_request_that_every_server_refused_is_refused_at_once() {
+fn request_rejected_by_every_server_is_refused_at_once() {
     let routes = vec![route("/", service("a"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a")]);
     let caller = harness.ask("/x");
--- a/crates/thornbridge-core/src/gateway/tests/awaiting.rs
+++ b/crates/thornbridge-core/src/gateway/tests/awaiting.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served yet: which are told to come back, and which are kept.
+//! Requests that cannot be served yet: refusal of first tries, waiting of callers' retries.
 
 use super::support::{
     Harness, answer_all, configuration, gather, instance, millis, route, service, verdict,
@@ -10,14 +10,14 @@
 use thornbridge_config::routes::Repeatability::Repeatable;
 use thornbridge_proto::peer::view::{InstanceState, StoreRevision};
 
-/// A gateway whose store has answered nothing for half a second.
-fn without_views() -> Harness {
+/// Gateway whose store has not answered for 500 ms.
+fn gateway_without_views() -> Harness {
     let mut harness = Harness::started();
     harness.wait(millis(500));
     harness
 }
 
-fn learn_views(harness: &mut Harness, servers: &[(&str, &str)]) {
+fn load_views(harness: &mut Harness, servers: &[(&str, &str)]) {
     let instances = servers.iter().enumerate().map(|(index, (id, service))| {
         let revision = StoreRevision::without_era(10 + index as u64);
         ViewObject::Instance(revision, instance(id, service, InstanceState::Ready))
@@ -26,7 +26,7 @@
     let target = gather(&["a", "b"], 0.9);
     let routes = vec![route("/", target, Repeatable)];
     let configuration = ViewObject::Configuration(configuration(1, routes));
-    // A reader that pauses takes no answer.
+    // A paused reader accepts no reply.
     while harness.gateway.instances() == 0 || harness.gateway.version() == 0 {
         if harness.gateway.instances() == 0 {
             harness.list(ViewKind::Registry, instances.clone(), 50);
@@ -39,71 +39,78 @@
 }
 
 #[test]
-fn a_first_try_is_told_to_come_back_at_once_while_no_view_is_known() {
-    let mut harness = without_views();
-    // Two that state the same, and the most: these are first tries.
+fn first_try_is_refused_at_once_without_views() {
+    let mut harness = gateway_without_views();
+    // Two requests that state the longest patience identify it as that of first tries.
     harness.ask("/x/1");
     harness.ask("/x/2");
     let caller = harness.ask("/x/3");
     assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
-    let back = harness.comes_back(caller).unwrap();
-    assert!(back >= millis(300) && back <= millis(666), "{back:?}");
+    let retry_after = harness.comes_back(caller).unwrap();
+    assert!(
+        retry_after >= millis(300) && retry_after <= millis(666),
+        "{retry_after:?}"
+    );
 }
 
 #[test]
-fn a_first_try_waits_while_the_views_may_come_any_moment() {
+fn first_try_waits_while_views_load() {
     let mut harness = Harness::started();
     harness.wait(millis(20));
     let callers = [1, 2, 3].map(|n| harness.ask(&format!("/x/{n}")));
-    assert!(callers.iter().all(|c| !harness.answers.contains_key(c)));
+    assert!(
+        callers
+            .iter()
+            .all(|caller| !harness.answers.contains_key(caller))
+    );
 }
 
 #[test]
-fn a_later_try_is_kept_while_no_view_is_known() {
-    let mut harness = without_views();
+fn caller_retry_is_kept_without_views() {
+    let mut harness = gateway_without_views();
     harness.ask("/x/1");
     harness.ask("/x/2");
-    let later = harness.ask_with("/x/3", millis(1_400));
+    let retry = harness.ask_with("/x/3", millis(1_400));
     harness.wait(millis(400));
-    assert!(!harness.answers.contains_key(&later));
-    learn_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
+    assert!(!harness.answers.contains_key(&retry));
+    load_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
     answer_all(&mut harness);
-    assert!(harness.refused(later).is_none());
-    assert!(harness.answers.contains_key(&later));
+    assert!(harness.refused(retry).is_none());
+    assert!(harness.answers.contains_key(&retry));
 }
 
 #[test]
-fn a_later_try_is_judged_again_by_those_that_came_after_it() {
-    let mut harness = without_views();
-    let later = harness.ask_with("/x/1", millis(1_400));
+fn caller_retry_is_reclassified_by_later_requests() {
+    let mut harness = gateway_without_views();
+    let retry = harness.ask_with("/x/1", millis(1_400));
     harness.ask("/x/2");
     harness.wait(millis(1_000));
-    assert!(!harness.answers.contains_key(&later));
+    assert!(!harness.answers.contains_key(&retry));
     harness.wait(millis(500));
-    assert_eq!(harness.refused(later), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(retry), Some(RefusalPromise::NotRun));
 }
 
 #[test]
-fn patience_is_counted_from_the_arrival() {
-    let mut harness = without_views();
+fn patience_counts_from_arrival() {
+    let mut harness = gateway_without_views();
     let caller = harness.ask_with("/x/1", millis(1_400));
     harness.wait(millis(200));
-    learn_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
+    load_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 2);
-    // The route's time limit of a second counts from the arrival, too.
+    // The route's time limit of 1 s counts from arrival too.
     assert!(sent[0].patience <= millis(800), "{:?}", sent[0].patience);
 }
 
 fn serving_one_of_two_shards() -> Harness {
     let mut harness = Harness::started();
-    learn_views(&mut harness, &[("a1", "a")]);
+    load_views(&mut harness, &[("a1", "a")]);
     harness.wait(millis(500));
     harness
 }
 
 #[test]
-fn a_first_try_is_told_to_come_back_at_once_while_too_few_shards_are_registered() {
+fn first_try_is_refused_at_once_with_too_few_shards() {
     let mut harness = serving_one_of_two_shards();
     harness.ask("/x");
     harness.ask("/x");
@@ -113,7 +120,7 @@
     assert!(harness.sent_for(caller).is_empty());
 }
 
-fn with_budget(harness: &mut Harness, ratio: f64) {
+fn set_budget_ratio(harness: &mut Harness, ratio: f64) {
     let mut parameters = GatewayParameters::default();
     parameters.budget.ratio = ratio;
     parameters.budget.slack = 0.0;
@@ -123,37 +130,37 @@
 }
 
 #[test]
-fn a_later_try_that_a_server_refused_waits_for_the_budget() {
+fn rejected_caller_retry_waits_for_budget() {
     let routes = vec![route("/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
-    with_budget(&mut harness, 0.0);
+    set_budget_ratio(&mut harness, 0.0);
     for _ in 0..2 {
         harness.ask("/x");
         answer_all(&mut harness);
     }
     let first = harness.ask("/x");
-    let refused = harness.sent_for(first)[0].attempt;
-    harness.reply(refused, verdict(ReplyVerdict::NotRun));
+    let rejected = harness.sent_for(first)[0].attempt;
+    harness.reply(rejected, verdict(ReplyVerdict::NotRun));
     assert_eq!(harness.refused(first), Some(RefusalPromise::NotRun));
 
-    let later = harness.ask_with("/x", millis(1_500));
-    let refused = harness.sent_for(later)[0].attempt;
-    harness.reply(refused, verdict(ReplyVerdict::NotRun));
+    let retry = harness.ask_with("/x", millis(1_500));
+    let rejected = harness.sent_for(retry)[0].attempt;
+    harness.reply(rejected, verdict(ReplyVerdict::NotRun));
     harness.wait(millis(300));
-    assert!(!harness.answers.contains_key(&later));
-    with_budget(&mut harness, 1.0);
+    assert!(!harness.answers.contains_key(&retry));
+    set_budget_ratio(&mut harness, 1.0);
     harness.wait(millis(50));
-    assert_eq!(harness.sent_for(later).len(), 2);
+    assert_eq!(harness.sent_for(retry).len(), 2);
 }
 
 #[test]
-fn a_later_try_waits_for_shards_that_are_not_registered() {
+fn caller_retry_waits_for_unregistered_shards() {
     let mut harness = serving_one_of_two_shards();
     harness.ask("/x");
     harness.ask("/x");
-    // Long after the start, too: the store may have been away.
+    // The settling time after the start has passed.
     harness.wait(Duration::from_secs(6));
-    let later = harness.ask_with("/x", millis(1_500));
+    let retry = harness.ask_with("/x", millis(1_500));
     harness.wait(millis(700));
-    assert!(!harness.answers.contains_key(&later));
+    assert!(!harness.answers.contains_key(&retry));
 }
--- a/crates/thornbridge-core/src/gateway/tests/delays.rs
+++ b/crates/thornbridge-core/src/gateway/tests/delays.rs
@@ -1,4 +1,4 @@
-//! Answers that wait in this node are decided earlier.
+//! Observed answer delays move the soft deadline forward.
 
 use super::support::{Harness, answer, gather, millis, route};
 use crate::gateway::exchange::AnswerDelay;
@@ -7,12 +7,12 @@
 use thornbridge_config::routes::Repeatability;
 
 #[test]
-fn nothing_is_kept_before_an_answer_was_seen() {
+fn reserve_is_zero_before_first_observation() {
     assert_eq!(AnswerDelay::default().reserve(), Duration::ZERO);
 }
 
 #[test]
-fn a_steady_delay_is_kept_without_much_more() {
+fn reserve_of_steady_delay_is_close_to_mean() {
     let mut delay = AnswerDelay::default();
     for _ in 0..200 {
         delay.observe(millis(6));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_varying_delay_is_kept_with_its_deviation() {
+fn reserve_of_varying_delay_includes_deviation() {
     let mut delay = AnswerDelay::default();
     for round in 0..200 {
         delay.observe(millis(2 + 8 * (round % 2)));
@@ -42,7 +42,7 @@
     for delay in delays {
         harness.event(GatewayEvent::AnswerDelayed { by: *delay });
     }
-    let began = harness.now;
+    let started = harness.now;
     let caller = harness.ask("/all/x");
     let first = harness.sent_for(caller);
     let of_first = first.iter().find(|sent| sent.instance == "i-1");
@@ -53,19 +53,19 @@
     }
     let answer = &harness.answers[&caller];
     assert!(matches!(answer, GatewayAnswer::Gathered { missing: 1, .. }));
-    harness.now.since(began)
+    harness.now.since(started)
 }
 
 #[test]
-fn a_node_that_is_slow_to_write_answers_earlier() {
+fn node_with_answer_delay_answers_earlier() {
     let prompt = answered_after(&[]);
     let slow = answered_after(&[millis(8); 50]);
     assert!(slow + millis(12) < prompt, "{slow:?} and {prompt:?}");
 }
 
 #[test]
-fn a_delay_beyond_all_measure_leaves_time_for_servers() {
+fn excessive_answer_delay_leaves_time_for_servers() {
     let answered = answered_after(&[Duration::from_secs(3); 10]);
-    // Of an objective of 100 ms.
+    // The latency objective is 100 ms.
     assert!(answered >= millis(20), "{answered:?}");
 }
--- a/crates/thornbridge-core/src/gateway/tests/divisions.rs
+++ b/crates/thornbridge-core/src/gateway/tests/divisions.rs
@@ -1,4 +1,4 @@
-//! Divided gathers, as properties: owners of groups, and answers under any order of events.
+//! Properties of divided gathers: owner assignment, and answers under any order of events.
 
 use super::support::{Harness, answer, gather, millis, peer, route};
 use crate::driver_action::CallerId;
@@ -48,34 +48,34 @@
     }
 
     #[test]
-    fn the_order_of_the_member_list_does_not_matter(members in 1..100_usize, turn in 0..100_usize) {
+    fn assignment_is_independent_of_member_order(members in 1..100_usize, rotation in 0..100_usize) {
         let members = addresses(members);
-        let mut turned = members.clone();
-        turned.rotate_left(turn % members.len());
+        let mut rotated = members.clone();
+        rotated.rotate_left(rotation % members.len());
         let groups: Vec<u64> = (0..13).map(|group| group * 104_729).collect();
-        let of = |members: &[SocketAddr]| -> Vec<BTreeSet<SocketAddr>> {
+        let owner_sets = |members: &[SocketAddr]| -> Vec<BTreeSet<SocketAddr>> {
             let owners = owners_of_groups(members, &groups);
-            let named = owners.iter().map(|group| group.iter().map(|owner| members[*owner]));
-            named.map(Iterator::collect).collect()
+            let sets = owners.iter().map(|group| group.iter().map(|owner| members[*owner]));
+            sets.map(Iterator::collect).collect()
         };
-        prop_assert_eq!(of(&members), of(&turned));
+        prop_assert_eq!(owner_sets(&members), owner_sets(&rotated));
     }
 }
 
-/// Something that happens to a divided gather.
+/// Event of a divided gather.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The owner of a task reports shards from this place on, and whether it is done.
+    /// An owner reports `count` shards starting at index `from`.
     Report {
         task: usize,
         from: usize,
         count: usize,
     },
-    /// The owner of a task says that it could not send these.
-    Unsent { task: usize, place: usize },
-    /// The owner of a task refuses it.
+    /// An owner reports a shard as unsent.
+    Unsent { task: usize, shard: usize },
+    /// An owner refuses its task.
     Refuse { task: usize },
-    /// The link to the owner of a task breaks.
+    /// The link to an owner breaks.
     LinkDown { task: usize },
     /// A server answers an attempt of this node.
     Reply { attempt: usize },
@@ -87,7 +87,7 @@
     prop_oneof![
         6 => (0..12_usize, 0..8_usize, 1..9_usize)
             .prop_map(|(task, from, count)| Step::Report { task, from, count }),
-        2 => (0..12_usize, 0..8_usize).prop_map(|(task, place)| Step::Unsent { task, place }),
+        2 => (0..12_usize, 0..8_usize).prop_map(|(task, shard)| Step::Unsent { task, shard }),
         1 => (0..12_usize).prop_map(|task| Step::Refuse { task }),
         3 => (0..12_usize).prop_map(|task| Step::LinkDown { task }),
         4 => (0..60_usize).prop_map(|attempt| Step::Reply { attempt }),
@@ -95,19 +95,19 @@
     ]
 }
 
-/// The only record of a shard, by its name.
+/// The only record of a shard.
 fn record_of(shard: &str) -> Vec<u8> {
     format!("{shard:>RECORD_BYTES$}").into_bytes()
 }
 
-struct Division {
+struct DividedGather {
     harness: Harness,
     caller: CallerId,
-    /// Places of each task that were reported: an owner names none twice.
+    /// Shard indices already reported per task; an owner reports none twice.
     reported: Vec<BTreeSet<usize>>,
 }
 
-impl Division {
+impl DividedGather {
     fn started() -> Self {
         let names: Vec<String> = (0..SHARDS).map(|shard| format!("shard-{shard}")).collect();
         let shards: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -135,39 +135,40 @@
     }
 
     fn report(&mut self, owner: SocketAddr, task: &SliceTask, report: SliceReport) {
-        let all = (1..=PEERS).map(peer);
-        let from: Option<PeerEndpoint> = all.clone().find(|peer| peer.address == owner);
+        let peers = (1..=PEERS).map(peer);
+        let from: Option<PeerEndpoint> = peers.clone().find(|peer| peer.address == owner);
         let slice = task.slice;
         let message = SliceMessage::Report { slice, report };
-        self.harness.slice_message(from.expect("a peer"), message);
+        self.harness
+            .slice_message(from.expect("a peer with this address"), message);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Report { task, from, count } => {
                 let (index, owner, task) = self.task(task);
-                let places = from..(from + count).min(task.shards.len());
-                let fresh: Vec<usize> = places
-                    .filter(|place| self.reported[index].insert(*place))
+                let indices = from..(from + count).min(task.shards.len());
+                let unreported: Vec<usize> = indices
+                    .filter(|shard| self.reported[index].insert(*shard))
                     .collect();
-                let names = fresh.iter().map(|place| task.shards[*place].as_str());
+                let names = unreported.iter().map(|shard| task.shards[*shard].as_str());
                 let mut records: Vec<Vec<u8>> = names.clone().map(record_of).collect();
                 records.sort_by(|left, right| right.cmp(left));
                 let signatures = names.map(|name| SharedBytes::from(name.as_bytes().to_vec()));
-                let places = fresh.iter().map(|place| *place as u16);
+                let indices = unreported.iter().map(|shard| *shard as u16);
                 let report = SliceReport {
-                    answered: places.zip(signatures).collect(),
+                    answered: indices.zip(signatures).collect(),
                     records: records.concat().into(),
                     finished: self.reported[index].len() == task.shards.len(),
                     ..SliceReport::default()
                 };
                 self.report(owner, &task, report);
             }
-            Step::Unsent { task, place } => {
+            Step::Unsent { task, shard } => {
                 let (index, owner, task) = self.task(task);
-                // It may have the shard yet, from a connection that comes later.
-                if place < task.shards.len() && !self.reported[index].contains(&place) {
-                    let failed = vec![(place as u16, ShardFailure::Unsent)];
+                // An unsent shard may still be reported as answered later.
+                if shard < task.shards.len() && !self.reported[index].contains(&shard) {
+                    let failed = vec![(shard as u16, ShardFailure::Unsent)];
                     let report = SliceReport {
                         failed,
                         ..SliceReport::default()
@@ -204,8 +205,8 @@
         }
     }
 
-    /// The answer names each part once, counts the missing ones, and holds the records of exactly
-    /// the named parts, greatest first.
+    /// Checks that the answer signs each part at most once, counts the missing parts, and holds
+    /// exactly the records of the signed parts, greatest first.
     fn check(&self) -> Result<(), TestCaseError> {
         let Some(GatewayAnswer::Gathered {
             signatures,
@@ -215,10 +216,10 @@
         else {
             return Ok(());
         };
-        let named: BTreeSet<&[u8]> = signatures.iter().map(AsRef::as_ref).collect();
-        prop_assert_eq!(named.len(), signatures.len());
-        prop_assert_eq!(named.len() + missing, SHARDS);
-        let names = named.iter().map(|name| String::from_utf8_lossy(name));
+        let signed: BTreeSet<&[u8]> = signatures.iter().map(AsRef::as_ref).collect();
+        prop_assert_eq!(signed.len(), signatures.len());
+        prop_assert_eq!(signed.len() + missing, SHARDS);
+        let names = signed.iter().map(|name| String::from_utf8_lossy(name));
         let mut expected: Vec<Vec<u8>> = names.map(|name| record_of(&name)).collect();
         expected.sort_by(|left, right| right.cmp(left));
         prop_assert_eq!(records.to_vec(), expected.concat());
@@ -230,16 +231,16 @@
     #![proptest_config(config(300))]
 
     #[test]
-    fn answers_hold_the_records_of_the_parts_that_they_name(
+    fn answers_hold_exactly_the_records_of_signed_parts(
         steps in proptest::collection::vec(step(), 1..60)
     ) {
-        let mut division = Division::started();
+        let mut gather_run = DividedGather::started();
         for step in &steps {
-            division.take(step);
-            division.check()?;
+            gather_run.apply(step);
+            gather_run.check()?;
         }
-        division.harness.wait(millis(2_000));
-        division.check()?;
-        prop_assert!(division.harness.answers.contains_key(&division.caller));
+        gather_run.harness.wait(millis(2_000));
+        gather_run.check()?;
+        prop_assert!(gather_run.harness.answers.contains_key(&gather_run.caller));
     }
 }
--- a/crates/thornbridge-core/src/gateway/tests/grants.rs
+++ b/crates/thornbridge-core/src/gateway/tests/grants.rs
@@ -1,9 +1,11 @@
-//! Attempts of divided gathers: however nodes lag, no shard's request reaches more servers than its
-//! route allows, and a silent owner costs no answer.
+//! Attempt limits of divided gathers under slow and silent owners.
+//!
+//! A shard's request must reach no more servers than its route allows, and a silent owner must not
+//! cost the answer.
 
 use super::slice_support::{
-    SMALL_SHARE, ask_slice, grant, grant_lending, grants, missing, node, report, report_all,
-    report_and_request, report_of, reports, task,
+    SMALL_CORE_SHARE, grant, grant_lending, grants, missing_shards, node_with_peers, receive_task,
+    report, report_all, report_and_request, report_of, reports, task,
 };
 use super::support::{Harness, answer, answer_all, millis, peer, verdict};
 use crate::driver_action::CallerId;
@@ -15,12 +17,12 @@
     ShardFailure, SliceId, SliceMessage, SliceReport, SliceStop, SliceTask,
 };
 
-/// Time after which an owner that has not reported counts as silent: more than the objective of 200 ms.
-const SILENCE: Duration = Duration::from_millis(230);
+/// Longer than an owner may stay silent at a latency objective of 200 ms.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(230);
 
-/// A gather of which all owners but one reported.
-fn with_a_silent_owner() -> (Harness, CallerId, SocketAddr, SliceTask) {
-    let mut harness = node(SMALL_SHARE);
+/// Gather that all owners but one have reported on.
+fn gather_with_silent_owner() -> (Harness, CallerId, SocketAddr, SliceTask) {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
@@ -33,59 +35,65 @@
 }
 
 #[test]
-fn the_slice_of_a_silent_owner_is_asked_of_another() {
-    let (mut harness, caller, silent, task) = with_a_silent_owner();
-    harness.wait(SILENCE);
-    let (other, again) = harness.tasks[0].clone();
+fn slice_of_silent_owner_is_delegated_again() {
+    let (mut harness, caller, silent, task) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
+    let (other, second_task) = harness.tasks[0].clone();
     assert_ne!(other, silent);
-    assert_eq!(again.shards, task.shards);
-    // Both together have the two attempts of the route.
+    assert_eq!(second_task.shards, task.shards);
+    // Both owners share the two attempts of the route.
     assert_eq!((task.prior_attempts, task.attempts), (0, 1));
-    assert_eq!((again.prior_attempts, again.attempts), (1, 2));
-    let whole = report_of(&again, 0..again.shards.len(), b'1');
-    report(&mut harness, other, &again, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!((second_task.prior_attempts, second_task.attempts), (1, 2));
+    let whole = report_of(&second_task, 0..second_task.shards.len(), b'1');
+    report(&mut harness, other, &second_task, whole);
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_silent_owner_is_avoided_by_later_gathers() {
-    let (mut harness, _, silent, _) = with_a_silent_owner();
-    harness.wait(SILENCE);
+fn silent_owner_is_avoided_by_later_gathers() {
+    let (mut harness, _, silent, _) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
     harness.tasks.clear();
     harness.ask("/search/2");
     assert!(harness.tasks.iter().all(|(owner, _)| *owner != silent));
 }
 
-/// The owner that is asked in a silent one's place, after a message of this peer.
-fn asked_after_hearing(number: u8) -> SocketAddr {
-    let (mut harness, _, _, task) = with_a_silent_owner();
+/// Owner that replaces a silent one after a message from this peer.
+fn replacement_after_message_from(number: u8) -> SocketAddr {
+    let (mut harness, _, _, task) = gather_with_silent_owner();
     harness.wait(millis(1));
     let (slice, reason) = (SliceId(task.slice.0 + 1_000), SliceStop::Answered);
     harness.slice_message(peer(number), SliceMessage::Stop { slice, reason });
-    harness.wait(SILENCE);
+    harness.wait(SILENCE_TIMEOUT);
     harness.tasks[0].0
 }
 
 #[test]
-fn the_owner_that_was_heard_last_is_asked_in_anothers_place() {
-    let asked = (1..=20).map(|number| (peer(number).address, asked_after_hearing(number)));
-    let (heard, others): (Vec<_>, Vec<_>) = asked.partition(|(heard, asked)| heard == asked);
-    // Every other owner of the group, and none that owns another group only.
-    assert!(heard.len() > 1, "{heard:?}");
-    assert!(others.iter().all(|(_, asked)| *asked == others[0].1));
+fn most_recently_active_owner_replaces_silent_owner() {
+    let replacements =
+        (1..=20).map(|number| (peer(number).address, replacement_after_message_from(number)));
+    let (active, others): (Vec<_>, Vec<_>) =
+        replacements.partition(|(active, replacement)| active == replacement);
+    // Owners of other groups are never chosen, whoever sent the last message.
+    assert!(active.len() > 1, "{active:?}");
+    assert!(
+        others
+            .iter()
+            .all(|(_, replacement)| *replacement == others[0].1)
+    );
 }
 
 #[test]
-fn a_node_that_most_owners_do_not_answer_asks_the_servers_itself() {
-    let mut harness = node(SMALL_SHARE);
+fn gather_is_served_locally_when_most_owners_are_silent() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[..1]);
-    harness.wait(SILENCE);
-    // It may be this node that is cut off: nobody else would answer.
+    harness.wait(SILENCE_TIMEOUT);
+    // This node may be partitioned, so no other owner is tried.
     assert!(harness.tasks.is_empty());
     answer_all(&mut harness);
-    // As soon as enough of them answered, since the answer was due before.
+    // The soft deadline has passed, so enough shards complete the answer.
     let answer = harness.answers.get(&caller);
     assert_matches!(answer, Some(GatewayAnswer::Gathered { .. }));
     let next = harness.ask("/search/2");
@@ -95,13 +103,13 @@
     assert_matches!(answer, Some(GatewayAnswer::Gathered { missing: 0, .. }));
     harness.wait(millis(2_500));
     harness.ask("/search/3");
-    assert!(!harness.tasks.is_empty(), "divided again");
+    assert!(!harness.tasks.is_empty(), "division did not resume");
 }
 
-/// A search that cannot be answered without two silent owners of one slice.
-fn with_two_silent_owners(patience: Duration) -> (Harness, CallerId) {
-    let mut harness = node(SMALL_SHARE);
-    // What callers' first tries come with.
+/// Gather that cannot be answered without a slice whose two owners are silent.
+fn slice_with_two_silent_owners(patience: Duration) -> (Harness, CallerId) {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    // Teaches the route the patience of first tries.
     for _ in 0..20 {
         harness.ask_with("/search/1", millis(800));
         let tasks = std::mem::take(&mut harness.tasks);
@@ -110,81 +118,90 @@
     let caller = harness.ask_with("/search/2", patience);
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
-    harness.wait(SILENCE * 2);
-    assert_eq!(harness.tasks.len(), 1, "another owner was asked");
+    harness.wait(SILENCE_TIMEOUT * 2);
+    assert_eq!(
+        harness.tasks.len(),
+        1,
+        "slice was not delegated to a second owner"
+    );
     (harness, caller)
 }
 
 #[test]
-fn a_first_try_that_only_silent_owners_could_answer_ends_while_its_caller_can_come_back() {
-    let (harness, caller) = with_two_silent_owners(millis(800));
+fn first_try_stalled_by_silent_owners_is_refused_early() {
+    let (harness, caller) = slice_with_two_silent_owners(millis(800));
     assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
 }
 
 #[test]
-fn a_later_try_waits_for_silent_owners() {
-    let (mut harness, caller) = with_two_silent_owners(millis(600));
+fn caller_retry_waits_for_silent_owners() {
+    let (mut harness, caller) = slice_with_two_silent_owners(millis(600));
     assert!(!harness.answers.contains_key(&caller));
     let (other, task) = harness.tasks[0].clone();
     let whole = report_of(&task, 0..task.shards.len(), b'1');
     report(&mut harness, other, &task, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn shards_of_a_report_that_was_lost_are_asked_of_another_owner() {
-    let (mut harness, caller, owner, task) = with_a_silent_owner();
+fn shards_of_lost_report_are_delegated_again() {
+    let (mut harness, caller, owner, task) = gather_with_silent_owner();
     let part = SliceReport {
         finished: true,
         ..report_of(&task, 1..task.shards.len(), b'1')
     };
     report(&mut harness, owner, &task, part);
-    let (other, again) = harness.tasks[0].clone();
-    let whole = report_of(&again, 0..again.shards.len(), b'1');
-    report(&mut harness, other, &again, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    let (other, second_task) = harness.tasks[0].clone();
+    let whole = report_of(&second_task, 0..second_task.shards.len(), b'1');
+    report(&mut harness, other, &second_task, whole);
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_late_report_of_a_silent_owner_is_used() {
-    let (mut harness, caller, silent, task) = with_a_silent_owner();
-    harness.wait(SILENCE);
+fn late_report_of_silent_owner_is_used() {
+    let (mut harness, caller, silent, task) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
     let whole = report_of(&task, 0..task.shards.len(), b'1');
     report(&mut harness, silent, &task, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn records_of_two_owners_are_not_mixed() {
-    let (mut harness, caller, silent, task) = with_a_silent_owner();
-    harness.wait(SILENCE);
-    let (other, again) = harness.tasks[0].clone();
-    report(&mut harness, other, &again, report_of(&again, 0..2, b'8'));
+fn records_of_two_owners_are_not_combined() {
+    let (mut harness, caller, silent, task) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
+    let (other, second_task) = harness.tasks[0].clone();
+    report(
+        &mut harness,
+        other,
+        &second_task,
+        report_of(&second_task, 0..2, b'8'),
+    );
     let whole = report_of(&task, 0..task.shards.len(), b'9');
     report(&mut harness, silent, &task, whole);
-    // The whole report counts alone, and its records once each.
-    assert_eq!(missing(&harness, caller), Some(0));
+    // Only the complete report counts.
+    assert_eq!(missing_shards(&harness, caller), Some(0));
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
-        panic!("no answer");
+        panic!("no answer for {caller:?}");
     };
     assert_eq!(records.as_ref(), [b'9'; 32]);
 }
 
 #[test]
-fn an_owner_that_reports_is_granted_the_rest_once() {
-    let (mut harness, _, owner, task) = with_a_silent_owner();
+fn reporting_owner_is_granted_remaining_attempts_once() {
+    let (mut harness, _, owner, task) = gather_with_silent_owner();
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(grants(&harness, task.slice), [2]);
-    harness.wait(SILENCE);
-    // What it may have used is granted to nobody else.
+    harness.wait(SILENCE_TIMEOUT);
+    // Attempts that the first owner may have used are granted to no other.
     assert!(harness.tasks.is_empty());
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(grants(&harness, task.slice), [2, 1]);
 }
 
 #[test]
-fn a_node_that_was_not_asked_is_granted_nothing() {
-    let (mut harness, caller, owner, task) = with_a_silent_owner();
+fn node_without_delegation_is_granted_nothing() {
+    let (mut harness, caller, owner, task) = gather_with_silent_owner();
     let other = (1..=20).map(|number| peer(number).address);
     let other = other.into_iter().find(|address| *address != owner);
     let other = other.expect("another peer");
@@ -195,29 +212,33 @@
 }
 
 #[test]
-fn an_owner_beside_another_is_granted_nothing_more() {
-    let (mut harness, _, silent, task) = with_a_silent_owner();
-    harness.wait(SILENCE);
+fn replaced_owner_is_granted_no_further_attempts() {
+    let (mut harness, _, silent, task) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
     assert_eq!(harness.tasks.len(), 1);
     report_and_request(&mut harness, silent, &task, empty_report());
     assert_eq!(grants(&harness, task.slice), [1]);
 }
 
 #[test]
-fn attempts_that_this_node_makes_itself_are_granted_to_nobody() {
-    let (mut harness, caller, silent, task) = with_a_silent_owner();
-    harness.wait(SILENCE);
+fn lost_owner_is_granted_nothing() {
+    let (mut harness, caller, silent, task) = gather_with_silent_owner();
+    harness.wait(SILENCE_TIMEOUT);
     let (other, _) = harness.tasks[0].clone();
     harness.event(GatewayEvent::PeerLinkDown { address: other });
     harness.event(GatewayEvent::PeerLinkDown { address: silent });
-    assert_eq!(harness.sent_for(caller).len(), 0, "both may have run it");
+    assert_eq!(
+        harness.sent_for(caller).len(),
+        0,
+        "sent an attempt that an owner may have used"
+    );
     report_and_request(&mut harness, silent, &task, empty_report());
     assert!(grants(&harness, task.slice).is_empty());
 }
 
 #[test]
-fn a_shard_that_its_owner_could_not_send_gets_one_attempt_here() {
-    let (mut harness, caller, owner, task) = with_a_silent_owner();
+fn unsent_shard_gets_one_local_attempt() {
+    let (mut harness, caller, owner, task) = gather_with_silent_owner();
     let unsent = SliceReport {
         failed: vec![(0, ShardFailure::Unsent)],
         ..SliceReport::default()
@@ -225,7 +246,7 @@
     report(&mut harness, owner, &task, unsent);
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 1);
-    // The owner is gone: another one serves the slice, and may make the other attempt.
+    // The replacement owner may use the remaining attempt.
     harness.event(GatewayEvent::PeerLinkDown { address: owner });
     assert_eq!(harness.tasks[0].1.prior_attempts, 1);
     harness.reply(sent[0].attempt, verdict(ReplyVerdict::Spoilt));
@@ -233,12 +254,11 @@
     assert_eq!(harness.sent_for(caller).len(), 1);
 }
 
-/// What servers would count: a shard's request that they rejected at its owner reached them once more
-/// from its coordinator, without a charge to the budget.
+/// A shard that servers rejected at its owner must be charged when the coordinator sends it again.
 #[test]
-fn a_shard_that_servers_rejected_at_its_owner_is_paid_for_here() {
+fn rejected_shard_is_charged_to_coordinator_budget() {
     let rejected = |extra_allowed: bool| {
-        let (mut harness, caller, owner, task) = with_a_silent_owner();
+        let (mut harness, caller, owner, task) = gather_with_silent_owner();
         if !extra_allowed {
             harness.without_budget();
         }
@@ -253,9 +273,9 @@
     assert_eq!(rejected(false), 0);
 }
 
-// Owners.
+// Serving as an owner.
 
-/// A task as the first owner of a slice gets it.
+/// Task as sent to the first owner of a slice.
 fn first_task(shards: &[&str]) -> SliceTask {
     SliceTask {
         attempts: 1,
@@ -264,15 +284,15 @@
 }
 
 #[test]
-fn an_owner_makes_no_second_attempt_before_it_is_granted_one() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1"]));
+fn owner_sends_no_second_attempt_without_grant() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1"]));
     harness.wait(millis(300));
     assert_eq!(harness.sent.len(), 1);
     grant(&mut harness, 2);
     harness.wait(millis(20));
     assert_eq!(harness.sent.len(), 2);
-    // A grant that comes twice grants nothing more.
+    // A duplicate grant adds no attempts.
     grant(&mut harness, 2);
     harness.wait(millis(100));
     assert_eq!(harness.sent.len(), 2);
@@ -285,9 +305,9 @@
 }
 
 #[test]
-fn an_owner_without_a_grant_still_reports_its_first_attempt() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1"]));
+fn owner_without_grant_reports_first_attempt() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1"]));
     grant(&mut harness, 1);
     harness.wait(millis(300));
     assert_eq!(harness.sent.len(), 1);
@@ -300,47 +320,46 @@
 }
 
 #[test]
-fn a_failed_first_attempt_waits_for_the_grant() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1", "shard-2"]));
+fn failed_first_attempt_waits_for_grant() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1", "shard-2"]));
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Spoilt));
     assert_eq!(harness.sent.len(), 2);
     let early = &reports(&harness)[0];
     assert!(early.answered.is_empty() && early.failed.is_empty());
     grant(&mut harness, 2);
-    assert_eq!(harness.sent.len(), 3, "a retry");
+    assert_eq!(harness.sent.len(), 3, "no retry sent");
     answer_all(&mut harness);
     let last = reports(&harness).pop().expect("a report");
     assert!(last.finished && last.failed.is_empty());
 }
 
-/// An owner without a budget of its own, whose only attempt a server rejected.
-fn rejected_without_budget() -> Harness {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1", "shard-2"]));
+/// Owner without budget, after a server rejected its only attempt.
+fn rejected_owner_without_budget() -> Harness {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1", "shard-2"]));
     harness.without_budget();
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::NotRun));
     assert_eq!(harness.sent.len(), 2);
     harness
 }
 
-/// What users saw: where servers rejected six in ten parts, owners had used up their shares of the slack
-/// while those of all other nodes lay idle, and full searches ran into their deadline.
+/// An owner whose share of the budget is used up must use attempts lent by the coordinator.
 #[test]
-fn an_attempt_that_the_coordinator_lends_is_made_where_the_owner_has_no_budget() {
-    let mut harness = rejected_without_budget();
+fn lent_attempt_is_sent_without_owner_budget() {
+    let mut harness = rejected_owner_without_budget();
     grant_lending(&mut harness, 2, vec![0]);
     harness.wait(millis(50));
     assert_eq!(harness.sent.len(), 3);
     harness.reply(harness.sent[2].attempt, verdict(ReplyVerdict::NotRun));
     harness.wait(millis(50));
-    assert_eq!(harness.sent.len(), 3, "one was lent");
+    assert_eq!(harness.sent.len(), 3, "sent more attempts than were lent");
 }
 
 #[test]
-fn a_lent_attempt_is_made_soon_or_not_at_all() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1"]));
+fn lent_attempt_expires() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1"]));
     harness.without_budget();
     grant_lending(&mut harness, 2, vec![0]);
     harness.now = harness.now + millis(1_100);
@@ -350,7 +369,7 @@
 }
 
 #[test]
-fn a_coordinator_lends_no_more_than_its_budget_holds() {
+fn coordinator_lends_within_its_budget() {
     let lent_of = |harness: &Harness| -> usize {
         let messages = harness.slice_messages.iter();
         let lent = messages.filter_map(|(_, message)| match message {
@@ -359,13 +378,13 @@
         });
         lent.sum()
     };
-    let mut harness = node(SMALL_SHARE);
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     harness.ask("/search/1");
     let (owner, task) = harness.tasks[0].clone();
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(lent_of(&harness), 2 * task.shards.len());
 
-    let mut harness = node(SMALL_SHARE);
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     harness.without_budget();
     harness.ask("/search/1");
     let (owner, task) = harness.tasks[0].clone();
@@ -374,9 +393,9 @@
 }
 
 #[test]
-fn an_owner_tells_what_servers_rejected_from_what_reached_none() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1", "unknown"]));
+fn owner_distinguishes_rejected_from_unsent_shards() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1", "unknown"]));
     harness.without_budget();
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::NotRun));
     harness.wait(millis(950));
@@ -394,9 +413,9 @@
 }
 
 #[test]
-fn a_failed_attempt_is_over_where_nothing_is_granted() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, first_task(&["shard-1"]));
+fn failed_attempt_is_final_without_grant() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, first_task(&["shard-1"]));
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Spoilt));
     grant(&mut harness, 1);
     assert_eq!(harness.sent.len(), 1);
--- a/crates/thornbridge-core/src/gateway/tests/hedges.rs
+++ b/crates/thornbridge-core/src/gateway/tests/hedges.rs
@@ -1,11 +1,11 @@
-//! When a second attempt is made.
+//! When a hedge is sent.
 
 use super::support::{Harness, answer, millis, route, service};
 use std::time::Duration;
 use thornbridge_config::routes::Repeatability::Repeatable;
 
-/// A gateway that has learnt that its servers take five milliseconds.
-fn experienced() -> Harness {
+/// Gateway that has observed server latencies of 5 ms.
+fn gateway_with_observed_latency() -> Harness {
     let routes = vec![route("/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..40 {
@@ -18,28 +18,31 @@
     harness
 }
 
-/// When the second attempt of a request that is not answered leaves.
-fn second_attempt_after(harness: &mut Harness) -> Duration {
+/// Time until the hedge of an unanswered request.
+fn time_to_hedge(harness: &mut Harness) -> Duration {
     let caller = harness.ask("/x");
-    let asked = harness.now;
+    let started = harness.now;
     while harness.sent_for(caller).len() < 2 {
         harness.wait(millis(1));
-        assert!(harness.now.since(asked) < millis(500), "none was made");
+        assert!(
+            harness.now.since(started) < millis(500),
+            "no hedge within 500 ms"
+        );
     }
-    harness.now.since(asked)
+    harness.now.since(started)
 }
 
 #[test]
-fn a_second_attempt_leaves_while_it_may_still_come_in_time() {
-    let mut harness = experienced();
-    let after = second_attempt_after(&mut harness);
-    // 89 ms are left for the answer; one attempt takes 6.
+fn hedge_is_sent_in_time_to_answer() {
+    let mut harness = gateway_with_observed_latency();
+    let after = time_to_hedge(&mut harness);
+    // 89 ms remain until the soft deadline, and an attempt takes 6 ms.
     assert!(after <= millis(89 - 6), "{after:?}");
 }
 
 #[test]
-fn a_second_attempt_is_not_made_long_before_it_is_needed() {
-    let mut harness = experienced();
-    let after = second_attempt_after(&mut harness);
+fn hedge_is_not_sent_early() {
+    let mut harness = gateway_with_observed_latency();
+    let after = time_to_hedge(&mut harness);
     assert!(after >= millis(40), "{after:?}");
 }
--- a/crates/thornbridge-core/src/gateway/tests/slice_support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slice_support.rs
@@ -1,4 +1,4 @@
-//! A node whose gathers are divided, and what its peers tell it.
+//! Harness for divided gathers: a node with peers, and messages from them.
 
 use super::support::{Harness, gather, millis, peer, route, two_servers_each};
 use crate::driver_action::CallerId;
@@ -12,18 +12,18 @@
 use thornbridge_proto::peer::slice::{SliceId, SliceMessage, SliceReport, SliceStop, SliceTask};
 
 pub const SHARDS: usize = 36;
-/// Shards without which an answer is no success, as a share.
-pub const LEAST_SHARE: f64 = 0.9;
-/// Members beside the node under test.
+/// Share of shards required for a successful answer.
+pub const REQUIRED_SHARE: f64 = 0.9;
+/// Number of members besides the node under test.
 pub const PEERS: u8 = 20;
-/// Share of a core on which a gather over these shards takes too long for one node.
-pub const SMALL_SHARE: f64 = 0.05;
+/// Share of a core on which a gather over [`SHARDS`] is divided.
+pub const SMALL_CORE_SHARE: f64 = 0.05;
 
-/// A node among others, with a gather over many shards of two servers each.
-pub fn node(processor_share: f64) -> Harness {
+/// Node with peers, and a route that gathers from [`SHARDS`] shards of two servers each.
+pub fn node_with_peers(processor_share: f64) -> Harness {
     let names: Vec<String> = (0..SHARDS).map(|shard| format!("shard-{shard}")).collect();
     let shards: Vec<&str> = names.iter().map(String::as_str).collect();
-    let target = gather(&shards, LEAST_SHARE);
+    let target = gather(&shards, REQUIRED_SHARE);
     let mut search = route("/search/", target, Repeatability::Repeatable);
     search.latency_objective = millis(200);
     let servers = two_servers_each(&shards);
@@ -39,20 +39,20 @@
 pub fn endpoint(address: SocketAddr) -> PeerEndpoint {
     let all = (1..=PEERS).map(peer);
     let mut found = all.filter(|peer| peer.address == address);
-    found.next().expect("a peer")
+    found.next().expect("a peer with this address")
 }
 
-/// A report about these places of a task, each with one record of this byte.
-pub fn report_of(task: &SliceTask, places: std::ops::Range<usize>, byte: u8) -> SliceReport {
-    let signature = |place: usize| format!("{}", task.shards[place]).into_bytes();
-    let answered = places.clone().map(|place| {
-        let signature = SharedBytes::from(signature(place));
-        (place as u16, signature)
+/// Report that answers these shards of a task with records filled with `byte`.
+pub fn report_of(task: &SliceTask, indices: std::ops::Range<usize>, byte: u8) -> SliceReport {
+    let signature = |index: usize| format!("{}", task.shards[index]).into_bytes();
+    let answered = indices.clone().map(|index| {
+        let signature = SharedBytes::from(signature(index));
+        (index as u16, signature)
     });
     SliceReport {
         answered: answered.collect(),
-        records: vec![byte; 16 * places.len().min(2)].into(),
-        finished: places.len() == task.shards.len(),
+        records: vec![byte; 16 * indices.len().min(2)].into(),
+        finished: indices.len() == task.shards.len(),
         ..SliceReport::default()
     }
 }
@@ -63,7 +63,7 @@
     harness.slice_message(endpoint(owner), message);
 }
 
-/// All owners report all of their shards.
+/// Sends a complete report for each task.
 pub fn report_all(harness: &mut Harness, tasks: &[(SocketAddr, SliceTask)]) {
     for (owner, task) in tasks {
         let whole = report_of(task, 0..task.shards.len(), b'1');
@@ -71,7 +71,7 @@
     }
 }
 
-pub fn missing(harness: &Harness, caller: CallerId) -> Option<usize> {
+pub fn missing_shards(harness: &Harness, caller: CallerId) -> Option<usize> {
     match harness.answers.get(&caller)? {
         GatewayAnswer::Gathered {
             missing,
@@ -81,7 +81,7 @@
             let mut distinct = signatures.clone();
             distinct.sort();
             distinct.dedup();
-            assert_eq!(distinct.len(), signatures.len(), "a part twice");
+            assert_eq!(distinct.len(), signatures.len(), "a part is signed twice");
             assert_eq!(signatures.len() + missing, SHARDS);
             Some(*missing)
         }
@@ -117,7 +117,7 @@
     }
 }
 
-pub fn ask_slice(harness: &mut Harness, task: SliceTask) {
+pub fn receive_task(harness: &mut Harness, task: SliceTask) {
     let request = SharedBytes::default();
     harness.slice_message(peer(1), SliceMessage::Ask { task, request });
 }
@@ -133,7 +133,7 @@
     reports.collect()
 }
 
-/// A report of an owner that asks for further attempts.
+/// Sends a report that requests further attempts.
 pub fn report_and_request(
     harness: &mut Harness,
     owner: SocketAddr,
@@ -145,7 +145,7 @@
     harness.slice_message(endpoint(owner), message);
 }
 
-/// Attempts that were granted for a slice, in order.
+/// Attempts granted for a slice, in order.
 pub fn grants(harness: &Harness, slice: SliceId) -> Vec<u32> {
     let messages = harness.slice_messages.iter();
     let grants = messages.filter_map(|(_, message)| match message {
@@ -159,12 +159,12 @@
     grants.collect()
 }
 
-/// A coordinator grants this many attempts for each shard of the slice of [`task`].
+/// Sends a grant for the slice of [`task`].
 pub fn grant(harness: &mut Harness, attempts: u32) {
     grant_lending(harness, attempts, Vec::new());
 }
 
-/// The same, with extra attempts that it pays for: shards by their place.
+/// Sends a grant with lent attempts, by shard index.
 pub fn grant_lending(harness: &mut Harness, attempts: u32, lent: Vec<u16>) {
     let grant = SliceMessage::Grant {
         slice: SliceId(7),
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -1,8 +1,8 @@
-//! Gathers that are divided among nodes: their coordinator's side and their owners'.
+//! Divided gathers: delegation by the coordinator, and serving by owners.
 
 use super::slice_support::{
-    SHARDS, SMALL_SHARE, ask_slice, missing, node, report, report_all, report_and_request,
-    report_of, reports, stops, task,
+    SHARDS, SMALL_CORE_SHARE, missing_shards, node_with_peers, receive_task, report, report_all,
+    report_and_request, report_of, reports, stops, task,
 };
 use super::support::{answer, answer_all, millis, peer, verdict};
 use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, ReplyVerdict};
@@ -11,28 +11,28 @@
 use thornbridge_proto::peer::slice::{ShardFailure, SliceId, SliceMessage, SliceReport, SliceStop};
 
 #[test]
-fn a_wide_gather_is_divided_where_one_node_is_too_slow() {
-    let mut harness = node(SMALL_SHARE);
+fn wide_gather_is_divided_on_slow_node() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     assert_eq!(harness.sent_for(caller).len(), 0);
     let tasks = harness.tasks.clone();
     let shards: usize = tasks.iter().map(|(_, task)| task.shards.len()).sum();
     assert_eq!(shards, SHARDS);
     report_all(&mut harness, &tasks);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_node_with_a_whole_core_asks_the_servers_itself() {
-    let mut harness = node(1.0);
+fn gather_is_not_divided_on_full_core() {
+    let mut harness = node_with_peers(1.0);
     let caller = harness.ask("/search/1");
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), SHARDS);
 }
 
 #[test]
-fn the_answer_holds_the_greatest_records_of_all_reports() {
-    let mut harness = node(SMALL_SHARE);
+fn answer_holds_greatest_records_of_all_reports() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = harness.tasks.clone();
     for (index, (owner, task)) in tasks.iter().enumerate() {
@@ -40,37 +40,39 @@
         report(&mut harness, *owner, task, whole);
     }
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
-        panic!("no answer");
+        panic!("no answer for {caller:?}");
     };
     let greatest = tasks.len() as u8 - 1;
     assert_eq!(records.as_ref(), [greatest; 32]);
 }
 
 #[test]
-fn a_slice_whose_owner_is_gone_is_asked_of_another() {
-    let mut harness = node(SMALL_SHARE);
+fn slice_of_lost_owner_is_delegated_again() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
-    let (gone, lost) = tasks[0].clone();
+    let (lost_owner, lost_task) = tasks[0].clone();
     report_all(&mut harness, &tasks[1..]);
-    harness.event(GatewayEvent::PeerLinkDown { address: gone });
+    harness.event(GatewayEvent::PeerLinkDown {
+        address: lost_owner,
+    });
     let again = harness.tasks.clone();
     let (owner, task) = &again[0];
-    assert_ne!(*owner, gone);
-    assert_eq!(task.shards, lost.shards);
+    assert_ne!(*owner, lost_owner);
+    assert_eq!(task.shards, lost_task.shards);
     assert_eq!(task.prior_attempts, 1);
     report_all(&mut harness, &again);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_slice_that_may_have_had_all_its_attempts_is_asked_of_nobody() {
-    let mut harness = node(SMALL_SHARE);
+fn slice_without_remaining_attempts_is_not_delegated_again() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     harness.wait(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
-    // The owner is granted second attempts and may have made them by now.
+    // With its grant, the owner may have sent the second attempts by now.
     let (address, task) = tasks[0].clone();
     let part = report_of(&task, 0..1, b'1');
     report_and_request(&mut harness, address, &task, part);
@@ -82,33 +84,33 @@
 }
 
 #[test]
-fn a_late_report_replaces_the_answers_that_this_node_got_itself() {
-    let mut harness = node(SMALL_SHARE);
+fn late_report_replaces_local_answers() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = tasks[0].clone();
-    let none = SliceReport {
+    let unsent = SliceReport {
         failed: vec![(0, ShardFailure::Unsent)],
         ..SliceReport::default()
     };
-    // The owner could not send its first shard: this node does, and has an answer.
-    report(&mut harness, owner, &task, none);
+    // This node sends the shard that its owner could not send.
+    report(&mut harness, owner, &task, unsent);
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 1);
     harness.reply(sent[0].attempt, answer(b"9999999999999999"));
     let whole = report_of(&task, 0..task.shards.len(), b'1');
     report(&mut harness, owner, &task, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
-        panic!("no answer");
+        panic!("no answer for {caller:?}");
     };
     assert_eq!(records.as_ref(), [b'1'; 32]);
 }
 
 #[test]
-fn a_refused_slice_did_not_run() {
-    let mut harness = node(SMALL_SHARE);
+fn slice_refused_by_all_owners_is_served_locally() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
@@ -120,7 +122,7 @@
             report(&mut harness, owner, &task, refused);
         }
     }
-    // All owners refused: this node asks the servers, as it would without owners.
+    // With all owners refusing, this node serves the shards.
     assert_eq!(harness.sent_for(caller).len(), SHARDS);
     answer_all(&mut harness);
     let answer = harness.answers.get(&caller);
@@ -128,8 +130,8 @@
 }
 
 #[test]
-fn owners_hear_that_the_caller_left() {
-    let mut harness = node(SMALL_SHARE);
+fn owners_are_stopped_when_caller_leaves() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     harness.event(GatewayEvent::CallerGone { caller });
     for (_, task) in harness.tasks.clone() {
@@ -138,8 +140,8 @@
 }
 
 #[test]
-fn enough_shards_are_an_answer_when_it_is_due() {
-    let mut harness = node(SMALL_SHARE);
+fn partial_answer_is_sent_at_soft_deadline() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     let tasks = harness.tasks.clone();
     report_all(&mut harness, &tasks[1..]);
@@ -147,16 +149,16 @@
     let part = report_of(task, 0..task.shards.len() - 1, b'1');
     report(&mut harness, *owner, task, part);
     harness.wait(millis(200));
-    assert_eq!(missing(&harness, caller), Some(1));
+    assert_eq!(missing_shards(&harness, caller), Some(1));
     assert_eq!(stops(&harness, task.slice), [SliceStop::Answered]);
 }
 
-// Owners.
+// Serving as an owner.
 
 #[test]
-fn an_owner_reports_once_where_all_shards_answer() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
+fn owner_reports_once_when_all_shards_answer() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
     assert_eq!(harness.sent.len(), 3);
     answer_all(&mut harness);
     let reports = reports(&harness);
@@ -167,28 +169,32 @@
 }
 
 #[test]
-fn an_owner_reports_when_its_second_attempts_begin() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2"], 0));
+fn owner_reports_when_hedging_begins() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2"], 0));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
     harness.wait(millis(49));
-    assert_eq!(harness.sent.len(), 2, "no second attempt yet");
+    assert_eq!(harness.sent.len(), 2, "hedge sent before its earliest time");
     assert!(reports(&harness).is_empty());
     harness.wait(millis(30));
-    assert_eq!(harness.sent.len(), 3, "a second attempt");
+    assert_eq!(harness.sent.len(), 3, "no hedge sent");
     let first = &reports(&harness)[0];
     assert_eq!(first.answered.len(), 1);
     assert!(!first.finished);
 }
 
 #[test]
-fn late_shards_are_reported_as_they_come() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
+fn late_shards_are_reported_as_they_answer() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
     harness.wait(millis(150));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
     harness.reply(harness.sent[1].attempt, answer(b"0000000000000002"));
-    assert_eq!(reports(&harness).len(), 2, "the second waits for a moment");
+    assert_eq!(
+        reports(&harness).len(),
+        2,
+        "second report sent within the report interval"
+    );
     harness.wait(millis(10));
     let reports = reports(&harness);
     let answered: Vec<usize> = reports.iter().map(|report| report.answered.len()).collect();
@@ -196,9 +202,9 @@
 }
 
 #[test]
-fn an_owner_that_is_asked_second_makes_one_attempt_less() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 1));
+fn second_owner_sends_one_attempt_less() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 1));
     assert_eq!(harness.sent.len(), 1);
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Spoilt));
     harness.wait(millis(800));
@@ -211,9 +217,9 @@
 }
 
 #[test]
-fn servers_stop_soon_after_the_caller_of_a_slice_left() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn attempts_are_cancelled_after_slice_caller_leaves() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let slice = SliceId(7);
     let reason = SliceStop::CallerGone;
     harness.slice_message(peer(1), SliceMessage::Stop { slice, reason });
@@ -224,9 +230,9 @@
 }
 
 #[test]
-fn an_owner_stops_when_its_coordinator_is_gone() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn attempts_are_cancelled_when_coordinator_is_lost() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let address = peer(1).address;
     harness.event(GatewayEvent::PeerLinkDown { address });
     let connection = harness.sent[0].connection;
@@ -235,38 +241,41 @@
 }
 
 #[test]
-fn a_slice_of_unknown_services_is_refused() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["unheard-of"], 0));
+fn slice_of_unknown_services_is_refused() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["unheard-of"], 0));
     let reports = reports(&harness);
     assert!(reports[0].refused && reports[0].finished);
     assert!(harness.sent.is_empty());
 }
 
 #[test]
-fn the_same_slice_is_not_served_twice() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn duplicate_slice_is_ignored() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert_eq!(harness.sent.len(), 1);
-    assert!(reports(&harness).is_empty(), "a refusal would not be true");
+    assert!(
+        reports(&harness).is_empty(),
+        "a slice in flight must not be refused"
+    );
 }
 
 #[test]
-fn a_slice_that_waited_for_a_paused_process_is_refused() {
-    let mut harness = node(SMALL_SHARE);
+fn slice_is_refused_after_process_pause() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     harness.event(GatewayEvent::Paused { by: millis(1_500) });
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert!(reports(&harness)[0].refused);
     assert!(harness.sent.is_empty());
     harness.wait(millis(200));
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert_eq!(harness.sent.len(), 1);
 }
 
 #[test]
-fn a_task_that_never_left_did_not_run() {
-    let mut harness = node(SMALL_SHARE);
+fn unsent_tasks_are_served_locally() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
@@ -278,9 +287,9 @@
 }
 
 #[test]
-fn a_slice_whose_request_cannot_be_used_is_refused_and_not_tried_again() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn slice_with_unusable_request_is_refused_without_retry() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let sent = harness.sent[0].clone();
     let caller = sent.caller;
     harness.event(GatewayEvent::RelayUnusable { caller });
@@ -294,11 +303,9 @@
     assert_eq!(harness.released, [caller]);
 }
 
-/// Zones have as many owners, and not as many callers: with the nearest owners only, those of a busy zone
-/// held parts back for seconds while others had nothing to do.
 #[test]
-fn an_owner_at_which_parts_wait_is_left_to_others_for_a_while() {
-    let mut harness = node(SMALL_SHARE);
+fn owner_with_queued_parts_is_avoided_for_a_while() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let first_owner = |harness: &mut super::support::Harness| {
         harness.tasks.clear();
         harness.ask("/search/1");
@@ -312,7 +319,7 @@
     report(&mut harness, busy, &task, whole);
     let (other, _) = first_owner(&mut harness);
     assert_ne!(other, busy);
-    // Shorter than the time after which a peer that answers no probe is missed here.
+    // Shorter than the failure detection of peers that answer no probe.
     harness.wait(millis(200));
     let (again, _) = first_owner(&mut harness);
     assert_eq!(again, busy);
