--- a/crates/thornbridge-core/src/gossip/mod.rs
+++ b/crates/thornbridge-core/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! What every kind of gossip needs: a queue by times sent, and a limit on bytes.
+//! Building blocks of gossip and anti-entropy: transmission queue, send budget, sync schedule.
 
 mod send_budget;
 mod sync;
@@ -11,10 +11,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Times that each node sends a change so that all of `members` learn it.
+/// Number of times each node sends a change, so that all `members` are likely to receive it.
 ///
-/// Each member then receives as many copies on average, so that `members * e^-copies` are left
-/// out: with `margin` 4, a fiftieth of a member in a cluster of any size.
+/// Each member receives this many copies on average, so the expected number of members missed is
+/// `members * e^-transmissions`, at most `e^-margin` whatever the size of the cluster.
 pub fn transmissions(margin: u32, members: usize) -> u32 {
     (members.max(1) as f64).ln().ceil() as u32 + margin
 }
--- a/crates/thornbridge-core/src/gossip/sync.rs
+++ b/crates/thornbridge-core/src/gossip/sync.rs
@@ -1,11 +1,11 @@
-//! Anti-entropy as far as it does not depend on what is compared: when, and which buckets.
+//! Scheduling of anti-entropy exchanges, and selection of the buckets to exchange.
 
 use crate::time::Timestamp;
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// When the next exchange of digests is due.
+/// Schedule of the digest exchanges of one node.
 #[derive(Debug)]
 pub struct SyncSchedule {
     interval: Duration,
@@ -14,7 +14,7 @@
 }
 
 impl SyncSchedule {
-    /// Nothing is due until it is planned.
+    /// Creates a schedule without a planned exchange.
     pub fn new(interval: Duration, interval_differing: Duration) -> Self {
         Self {
             interval,
@@ -23,25 +23,25 @@
         }
     }
 
-    /// When the next exchange is due; [`Timestamp::MAX`] where none was planned.
+    /// Time of the next exchange; [`Timestamp::MAX`] if none is planned.
     pub fn next(&self) -> Timestamp {
         self.next
     }
 
-    /// Plans the next exchange after the usual time.
+    /// Plans the next exchange after the regular interval.
     pub fn plan(&mut self, now: Timestamp, random: &mut impl Rng) {
         self.next = now + jittered(self.interval, random);
     }
 
-    /// A difference was found, or is likely: plans an exchange soon.
+    /// Advances the next exchange, because a difference was found or is likely.
     pub fn hasten(&mut self, now: Timestamp, random: &mut impl Rng) {
         let soon = now + jittered(self.interval_differing, random);
         self.next = self.next.min(soon);
     }
 }
 
-/// At most `limit` of the buckets whose digests differ, in random order; none where the other
-/// side divides into another number of buckets.
+/// At most `limit` buckets whose digests differ, in random order. Empty if the number of buckets
+/// differs.
 pub fn differing_buckets(
     own: &[u64],
     theirs: &[u64],
--- a/crates/thornbridge-core/src/gossip/tests.rs
+++ b/crates/thornbridge-core/src/gossip/tests.rs
@@ -1,10 +1,13 @@
 use super::transmissions;
 
 #[test]
-fn few_members_are_left_out_in_a_cluster_of_any_size() {
+fn expected_misses_are_bounded_for_any_cluster_size() {
     for members in 2..5_000 {
         let copies = f64::from(transmissions(4, members));
-        let left_out = members as f64 * (-copies).exp();
-        assert!(left_out < 0.02, "{left_out} of {members} members");
+        let expected_misses = members as f64 * (-copies).exp();
+        assert!(
+            expected_misses < 0.02,
+            "{expected_misses} of {members} members missed"
+        );
     }
 }
--- a/crates/thornbridge-core/src/gossip/transmission_queue.rs
+++ b/crates/thornbridge-core/src/gossip/transmission_queue.rs
@@ -1,32 +1,32 @@
-//! Changes waiting to be sent: urgent ones first, then those sent least often.
+//! Queue of changes to gossip, ordered by urgency, then by number of transmissions, then by age.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Lower goes first.
+/// Urgency of a change; lower variants are sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Must be known everywhere within seconds, whatever else is going on.
+    /// A planned stop; may use the reserve of the send budget.
     Leaving,
-    /// Changes whom work is sent to.
+    /// A state that determines where work is sent.
     State,
-    /// May change whom work is sent to.
-    Hint,
-    /// Helps.
-    Description,
+    /// A suspicion or vote, which alone may not change where work is sent.
+    Unconfirmed,
+    /// A description of a member or back end.
+    Metadata,
 }
 
-/// Bytes that may be sent in one message.
+/// Size limits of one message.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// For changes of [`Urgency::Leaving`].
+    /// Limit for changes of [`Urgency::Leaving`].
     pub leaving_bytes: usize,
-    /// For all others.
+    /// Limit for all other changes.
     pub other_bytes: usize,
 }
 
-/// Place in the queue: urgency, then times sent, then age.
-type Place = (Urgency, u32, u64);
+/// Sort key: urgency, number of transmissions, sequence number.
+type QueuePosition = (Urgency, u32, u64);
 
 #[derive(Debug)]
 struct Queued<S, T> {
@@ -36,26 +36,27 @@
     transmissions: u32,
 }
 
-/// The queue. A change about a subject replaces an older one about the same.
+/// Queue that holds at most one change per subject, the latest.
 #[derive(Debug)]
 pub struct TransmissionQueue<S, T> {
-    waiting: BTreeMap<Place, Queued<S, T>>,
-    places: BTreeMap<S, Place>,
-    last_age: u64,
+    entries: BTreeMap<QueuePosition, Queued<S, T>>,
+    positions: BTreeMap<S, QueuePosition>,
+    last_sequence: u64,
 }
 
 impl<S, T> Default for TransmissionQueue<S, T> {
     fn default() -> Self {
         Self {
-            waiting: BTreeMap::new(),
-            places: BTreeMap::new(),
-            last_age: 0,
+            entries: BTreeMap::new(),
+            positions: BTreeMap::new(),
+            last_sequence: 0,
         }
     }
 }
 
 impl<S: Copy + Ord, T: Clone> TransmissionQueue<S, T> {
-    /// Adds a change of an encoded size, to be sent so many times.
+    /// Queues a change with its encoded size, to be sent `transmissions` times. Replaces a queued
+    /// change of the same subject.
     pub fn push(
         &mut self,
         subject: S,
@@ -64,74 +65,74 @@
         (change, bytes): (T, usize),
     ) {
         self.remove(&subject);
-        self.last_age += 1;
-        let place = (urgency, 0, self.last_age);
+        self.last_sequence += 1;
+        let position = (urgency, 0, self.last_sequence);
         let queued = Queued {
             subject,
             change,
             bytes,
             transmissions,
         };
-        self.waiting.insert(place, queued);
-        self.places.insert(subject, place);
+        self.entries.insert(position, queued);
+        self.positions.insert(subject, position);
     }
 
-    /// Takes changes for one message.
+    /// Selects changes for one message, and counts their transmission.
     pub fn take(&mut self, allowance: Allowance) -> Vec<T> {
-        let mut chosen = Vec::new();
-        let mut taken = 0;
-        for (place, queued) in &self.waiting {
-            let limit = match place.0 {
+        let mut selected = Vec::new();
+        let mut message_bytes = 0;
+        for (position, queued) in &self.entries {
+            let limit = match position.0 {
                 Urgency::Leaving => allowance.leaving_bytes,
-                Urgency::State | Urgency::Hint | Urgency::Description => allowance.other_bytes,
+                Urgency::State | Urgency::Unconfirmed | Urgency::Metadata => allowance.other_bytes,
             };
-            if taken + queued.bytes > limit {
+            if message_bytes + queued.bytes > limit {
                 break;
             }
-            taken += queued.bytes;
-            chosen.push(*place);
+            message_bytes += queued.bytes;
+            selected.push(*position);
         }
-        chosen
+        selected
             .into_iter()
-            .filter_map(|place| self.sent(place))
+            .filter_map(|position| self.record_transmission(position))
             .collect()
     }
 
-    /// Whether nothing waits.
+    /// Whether no change is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Removes the change about a subject.
+    /// Removes the change of a subject.
     pub fn remove(&mut self, subject: &S) {
-        if let Some(place) = self.places.remove(subject) {
-            self.waiting.remove(&place);
+        if let Some(position) = self.positions.remove(subject) {
+            self.entries.remove(&position);
         }
     }
 
-    /// Removes the changes about a range of subjects.
+    /// Removes the changes of a range of subjects.
     pub fn remove_range(&mut self, subjects: RangeInclusive<S>) {
-        let found: Vec<S> = self
-            .places
+        let matching: Vec<S> = self
+            .positions
             .range(subjects)
             .map(|(subject, _)| *subject)
             .collect();
-        for subject in found {
+        for subject in matching {
             self.remove(&subject);
         }
     }
 
-    /// Counts one sending; the change leaves the queue with the last.
-    fn sent(&mut self, place: Place) -> Option<T> {
-        let queued = self.waiting.remove(&place)?;
+    /// Counts a transmission; removes the change after the last one.
+    fn record_transmission(&mut self, position: QueuePosition) -> Option<T> {
+        let queued = self.entries.remove(&position)?;
         let change = queued.change.clone();
-        let (urgency, times, age) = place;
-        if times + 1 < queued.transmissions {
-            let place = (urgency, times + 1, age);
-            self.places.insert(queued.subject, place);
-            self.waiting.insert(place, queued);
+        let (urgency, sent_count, sequence) = position;
+        if sent_count + 1 < queued.transmissions {
+            let position = (urgency, sent_count + 1, sequence);
+            self.positions.insert(queued.subject, position);
+            self.entries.insert(position, queued);
         } else {
-            self.places.remove(&queued.subject);
+            self.positions.remove(&queued.subject);
         }
         Some(change)
     }
--- a/crates/thornbridge-core/src/health/spreading.rs
+++ b/crates/thornbridge-core/src/health/dissemination.rs
@@ -1,8 +1,8 @@
-//! How facts reach the other nodes: gossip of changes, and comparison of digests.
+//! Dissemination of facts: gossip of changes, anti-entropy, and the bootstrap of new nodes.
 
 use super::HealthSharing;
-use super::facts::FactName;
-use super::learning::Learning;
+use super::bootstrap::Bootstrap;
+use super::facts::FactKind;
 use crate::context::Context;
 use crate::driver_action::Action;
 use crate::gossip::{self, Urgency, differing_buckets};
@@ -15,11 +15,11 @@
 };
 use thornbridge_proto::peer::{PeerEndpoint, PeerMessage};
 
-/// Changes in one part of the answer to a new node: about 4 kB.
-const REQUEST_PART: usize = 256;
+/// Changes per message of the response to a bootstrap request.
+const CHANGES_PER_RESPONSE_MESSAGE: usize = 256;
 
 impl HealthSharing {
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     pub fn peer_message(
         &mut self,
         context: &mut Context<'_>,
@@ -28,103 +28,111 @@
     ) {
         match message {
             HealthMessage::Changes { batch } => {
-                let news = self.merge(context, batch.unpack());
-                for change in news {
-                    self.changed(context, change);
+                let applied = self.merge(context, batch.unpack());
+                for change in applied {
+                    self.gossip_change(context, change);
                 }
             }
             HealthMessage::Facts { batch } => {
                 self.merge(context, batch.unpack());
             }
-            HealthMessage::FirstFacts { batch } => self.take_first_facts(context, batch),
+            HealthMessage::FirstFacts { batch } => self.handle_first_facts(context, batch),
             HealthMessage::Request => self.answer_request(context, from),
-            HealthMessage::Digest { digest } => self.take_digest(context, from, digest),
+            HealthMessage::Digest { digest } => self.handle_digest(context, from, digest),
             HealthMessage::BucketDigests { digests } => {
-                self.take_bucket_digests(context, from, &digests);
+                self.handle_bucket_digests(context, from, &digests);
             }
             HealthMessage::Buckets { buckets, batch } => {
-                self.take_buckets(context, from, &buckets, batch);
+                self.handle_buckets(context, from, &buckets, batch);
             }
         }
     }
 
-    /// Takes changes, tells the node's other parts, and gives those that were news.
+    /// Merges changes and signals the changed back ends. Returns the changes that were newer.
     fn merge(
         &mut self,
         context: &mut Context<'_>,
         changes: Vec<HealthChange>,
     ) -> Vec<HealthChange> {
-        let mut news = Vec::new();
-        let mut touched = BTreeSet::new();
+        let mut applied = Vec::new();
+        let mut changed_back_ends = BTreeSet::new();
         for change in changes {
             let vote = matches!(change.fact, HealthFact::Unreachable(_));
             if vote && !self.observers.is_member(change.observer) {
                 continue;
             }
-            let Some(watched) = self.back_ends.get_mut(&change.back_end) else {
+            let Some(monitored) = self.back_ends.get_mut(&change.back_end) else {
                 continue;
             };
-            if watched.facts.merge(&change) {
-                watched.note_change(&self.parameters, context.now, &change.fact);
+            if monitored.facts.merge(&change) {
+                monitored.record_change(&self.parameters, context.now, &change.fact);
                 self.counters.learnt += 1;
-                touched.insert(change.back_end);
-                news.push(change);
+                changed_back_ends.insert(change.back_end);
+                applied.push(change);
             }
         }
-        for key in touched {
-            self.tell(context, key);
+        for key in changed_back_ends {
+            self.signal_health(context, key);
         }
-        news
+        applied
     }
 
     /// Queues a change for gossip.
-    pub(super) fn enqueue(&mut self, subject: (BackEndKey, FactName), change: HealthChange) {
+    pub(super) fn enqueue(&mut self, subject: (BackEndKey, FactKind), change: HealthChange) {
         let Ok(encoded) = frame::encode(&HealthBatch::pack([&change])) else {
             return;
         };
-        let all = gossip::transmissions(self.parameters.transmission_margin, self.members);
+        let transmissions_to_all =
+            gossip::transmissions(self.parameters.transmission_margin, self.member_count);
         let (urgency, transmissions) = match change.fact {
-            HealthFact::Readiness(Readiness::Leaving) => (Urgency::Leaving, all),
-            HealthFact::Readiness(_) => (Urgency::State, all),
-            HealthFact::Unreachable(_) => (Urgency::Hint, all),
+            HealthFact::Readiness(Readiness::Leaving) => (Urgency::Leaving, transmissions_to_all),
+            HealthFact::Readiness(_) => (Urgency::State, transmissions_to_all),
+            HealthFact::Unreachable(_) => (Urgency::Unconfirmed, transmissions_to_all),
             HealthFact::Snapshots(_) => {
-                let few = self.parameters.snapshot_transmissions.min(all);
-                (Urgency::Description, few)
+                let limited = self
+                    .parameters
+                    .snapshot_transmissions
+                    .min(transmissions_to_all);
+                (Urgency::Metadata, limited)
             }
         };
         let sized = (change, encoded.len());
-        self.queue.push(subject, urgency, transmissions, sized);
+        self.gossip_queue
+            .push(subject, urgency, transmissions, sized);
     }
 
-    /// Sends changes to a few neighbours when it is time.
+    /// Gossips queued changes to random neighbours, if a round is due.
     pub(super) fn gossip_due(&mut self, context: &mut Context<'_>) {
-        if self.queue.is_empty() || context.now < self.next_gossip {
+        if self.gossip_queue.is_empty() || context.now < self.next_gossip {
             return;
         }
         self.next_gossip = context.now + self.parameters.gossip_interval;
         let fanout = self.parameters.gossip_fanout;
-        let chosen: Vec<PeerEndpoint> = self
+        let recipients: Vec<PeerEndpoint> = self
             .neighbours
             .choose_multiple(context.random, fanout)
             .copied()
             .collect();
-        for neighbour in chosen {
+        for neighbour in recipients {
             let limit = self.parameters.message_limit_bytes;
-            let allowance = self.budget.allowance(context.now, limit);
-            let changes = self.queue.take(allowance);
+            let allowance = self.gossip_budget.allowance(context.now, limit);
+            let changes = self.gossip_queue.take(allowance);
             if changes.is_empty() {
                 return;
             }
             let batch = HealthBatch::pack(&changes);
             let message = HealthMessage::Changes { batch };
-            self.budget.spend(send(context, neighbour, message));
+            self.gossip_budget.spend(send(context, neighbour, message));
         }
     }
 
-    /// Asks a neighbour for all facts, while this node is new.
-    pub(super) fn learn(&mut self, context: &mut Context<'_>) {
-        let peers = !self.neighbours.is_empty();
-        if !self.learning.asks(&self.parameters, context.now, peers) {
+    /// Requests all facts from a neighbour during the bootstrap, if a request is due.
+    pub(super) fn request_facts_due(&mut self, context: &mut Context<'_>) {
+        let has_peers = !self.neighbours.is_empty();
+        if !self
+            .bootstrap
+            .request_due(&self.parameters, context.now, has_peers)
+        {
             return;
         }
         if let Some(neighbour) = self.neighbours.choose(context.random).copied() {
@@ -132,17 +140,17 @@
         }
     }
 
-    /// Tells a new node all facts: first those that it must know before it sends work. Silent
-    /// while this node is new itself.
+    /// Sends all facts to a new node, starting with those that make back ends unavailable. Not
+    /// answered while this node is bootstrapping itself.
     fn answer_request(&mut self, context: &mut Context<'_>, from: PeerEndpoint) {
         if !self.is_informed() {
             return;
         }
-        let known = self.back_ends.values();
-        let facts = known.flat_map(|known| known.facts.changes());
-        let (mut facts, others): (Vec<_>, Vec<_>) = facts.partition(takes_out);
+        let monitored = self.back_ends.values();
+        let facts = monitored.flat_map(|monitored| monitored.facts.changes());
+        let (mut facts, others): (Vec<_>, Vec<_>) = facts.partition(makes_unavailable);
         facts.extend(others);
-        let mut parts = facts.chunks(REQUEST_PART);
+        let mut parts = facts.chunks(CHANGES_PER_RESPONSE_MESSAGE);
         let first = parts.next().unwrap_or_default();
         let batch = HealthBatch::pack(first);
         send(context, from, HealthMessage::FirstFacts { batch });
@@ -152,13 +160,13 @@
         }
     }
 
-    /// A peer answered this new node.
-    fn take_first_facts(&mut self, context: &mut Context<'_>, batch: HealthBatch) {
+    /// Handles the first response to a bootstrap request; ends the bootstrap.
+    fn handle_first_facts(&mut self, context: &mut Context<'_>, batch: HealthBatch) {
         self.merge(context, batch.unpack());
-        self.learning = Learning::Done;
+        self.bootstrap = Bootstrap::Done;
     }
 
-    /// Sends the digest of all facts to a neighbour when it is time.
+    /// Starts an anti-entropy exchange with a neighbour, if one is due.
     pub(super) fn sync_due(&mut self, context: &mut Context<'_>) {
         if context.now < self.sync.next() {
             return;
@@ -171,7 +179,7 @@
         }
     }
 
-    fn take_digest(&mut self, context: &mut Context<'_>, from: PeerEndpoint, digest: u64) {
+    fn handle_digest(&mut self, context: &mut Context<'_>, from: PeerEndpoint, digest: u64) {
         let digests = self.bucket_digests();
         let own = digests.iter().fold(0, |left, right| left ^ right);
         if own != digest {
@@ -180,7 +188,7 @@
         }
     }
 
-    fn take_bucket_digests(
+    fn handle_bucket_digests(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -197,7 +205,7 @@
         self.sync_budget.spend(send(context, from, message));
     }
 
-    fn take_buckets(
+    fn handle_buckets(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -205,25 +213,26 @@
         batch: HealthBatch,
     ) {
         let theirs = batch.unpack();
-        let newer = self.newer_than(buckets, &theirs);
-        if !newer.is_empty() {
-            let batch = HealthBatch::pack(&newer);
+        let differing = self.differing_from(buckets, &theirs);
+        if !differing.is_empty() {
+            let batch = HealthBatch::pack(&differing);
             let message = HealthMessage::Facts { batch };
             self.sync_budget.spend(send(context, from, message));
         }
         self.merge(context, theirs);
     }
 
-    fn newer_than(&self, buckets: &[u8], theirs: &[HealthChange]) -> Vec<HealthChange> {
-        let subject = |change: &HealthChange| (change.back_end, super::facts::name_of(change));
+    /// Own facts in these buckets whose versions differ from the peer's.
+    fn differing_from(&self, buckets: &[u8], theirs: &[HealthChange]) -> Vec<HealthChange> {
+        let subject = |change: &HealthChange| (change.back_end, super::facts::kind_of(change));
         let theirs: BTreeMap<_, _> = theirs
             .iter()
             .map(|change| (subject(change), (change.version, change.observer)))
             .collect();
         let mut facts = self.facts_in(buckets);
         facts.retain(|own| {
-            let known = theirs.get(&subject(own));
-            known.is_none_or(|known| (own.version, own.observer) != *known)
+            let stamp = theirs.get(&subject(own));
+            stamp.is_none_or(|stamp| (own.version, own.observer) != *stamp)
         });
         facts
     }
@@ -232,21 +241,21 @@
         self.back_ends
             .iter()
             .filter(|(key, _)| buckets.contains(&(bucket_of(**key) as u8)))
-            .flat_map(|(_, watched)| watched.facts.changes())
+            .flat_map(|(_, monitored)| monitored.facts.changes())
             .collect()
     }
 
     fn bucket_digests(&self) -> Vec<u64> {
         let mut digests = vec![0; HEALTH_BUCKETS];
-        for (key, watched) in &self.back_ends {
-            digests[bucket_of(*key)] ^= watched.facts.digest();
+        for (key, monitored) in &self.back_ends {
+            digests[bucket_of(*key)] ^= monitored.facts.digest();
         }
         digests
     }
 }
 
-/// Whether a change takes its back end out of use.
-fn takes_out(change: &HealthChange) -> bool {
+/// Whether a change makes its back end unavailable.
+fn makes_unavailable(change: &HealthChange) -> bool {
     match change.fact {
         HealthFact::Readiness(readiness) => readiness == Readiness::Leaving,
         HealthFact::Unreachable(unreachable) => unreachable,
@@ -258,7 +267,7 @@
     key.0 as usize % HEALTH_BUCKETS
 }
 
-/// Sends a message; gives its size in bytes.
+/// Sends a message. Returns its size in bytes.
 fn send(context: &mut Context<'_>, to: PeerEndpoint, message: HealthMessage) -> usize {
     let bytes = frame::encode(&message).map_or(0, |encoded| encoded.len());
     context.act(Action::SendPeer {
--- a/crates/thornbridge-core/src/health/facts.rs
+++ b/crates/thornbridge-core/src/health/facts.rs
@@ -1,54 +1,55 @@
-//! What is known of one back end, and which of two pieces of news is newer.
+//! Facts about one back end, and conflict resolution between changes.
 //!
-//! Each fact is a register ordered by version, then by content or observer. An observer that
-//! sees something else than the register says writes a version above all that it has seen on
-//! that back end (a Lamport clock), so that a newer observation wins over those it knew of, and
-//! all nodes come to the same facts in whatever order changes arrive. Where two observers
-//! contradict each other unknowingly, the next probe settles it.
+//! Each fact is a last-writer-wins register, ordered by version, then by content or observer. A new
+//! observation gets a version above all versions seen for that back end (a Lamport clock), so an
+//! observation supersedes those it causally follows, and all nodes converge in whatever order
+//! changes arrive. Concurrent observations that conflict are corrected by the next probe.
 
 use thornbridge_proto::back_end::Readiness;
 use thornbridge_proto::peer::health::{BackEndKey, HealthChange, HealthFact, HealthRecord};
 use thornbridge_proto::{BackEndId, NodeId, SnapshotId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Kinds of facts, with the observer for those that each observer has its own of.
+/// Kind of a fact; reachability is a separate fact per observer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum FactName {
-    /// Readiness.
+pub enum FactKind {
+    /// Readiness that the back end reports.
     Readiness,
-    /// Snapshots held.
+    /// Snapshots that the back end holds.
     Snapshots,
-    /// Reachability from one observer.
+    /// Reachability as seen by this observer.
     Unreachable(NodeId),
 }
 
-/// Name of the fact that a change sets.
-pub fn name_of(change: &HealthChange) -> FactName {
+/// Kind of the fact that a change sets.
+pub fn kind_of(change: &HealthChange) -> FactKind {
     match change.fact {
-        HealthFact::Readiness(_) => FactName::Readiness,
-        HealthFact::Snapshots(_) => FactName::Snapshots,
-        HealthFact::Unreachable(_) => FactName::Unreachable(change.observer),
+        HealthFact::Readiness(_) => FactKind::Readiness,
+        HealthFact::Snapshots(_) => FactKind::Snapshots,
+        HealthFact::Unreachable(_) => FactKind::Unreachable(change.observer),
     }
 }
 
-/// Key of a back end.
+/// Key of a back end: the hash of its id.
 pub fn key_of(back_end: &BackEndId) -> BackEndKey {
     BackEndKey(xxh3_64(back_end.as_str().as_bytes()))
 }
 
+/// Version and writer of a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Stamp {
     version: u64,
     observer: NodeId,
 }
 
+/// Reachability reported by one observer.
 #[derive(Clone, Debug)]
 struct Vote {
     stamp: Stamp,
     unreachable: bool,
 }
 
-/// What is known of one back end.
+/// Facts about one back end.
 #[derive(Clone, Debug)]
 pub struct Facts {
     back_end: BackEndId,
@@ -58,11 +59,12 @@
     snapshots: Vec<SnapshotId>,
     snapshots_stamp: Option<Stamp>,
     votes: Vec<Vote>,
+    /// Highest version seen for this back end.
     clock: u64,
 }
 
 impl Facts {
-    /// Nothing is known yet: ready, reachable, snapshots unknown.
+    /// Creates the defaults: ready, reachable, snapshots unknown.
     pub fn new(back_end: BackEndId) -> Self {
         Self {
             key: key_of(&back_end),
@@ -76,22 +78,22 @@
         }
     }
 
-    /// What the back end says of itself.
+    /// Readiness that the back end last reported.
     pub fn readiness(&self) -> Readiness {
         self.readiness
     }
 
-    /// Snapshots held, where known.
+    /// Snapshots that the back end holds, if known.
     pub fn snapshots(&self) -> Option<&[SnapshotId]> {
         self.snapshots_stamp.map(|_| self.snapshots.as_slice())
     }
 
-    /// Whether this observer finds it unreachable.
+    /// Whether this observer reports the back end as unreachable.
     pub fn is_unreachable_from(&self, observer: NodeId) -> bool {
-        self.unreachable_from().any(|found| found == observer)
+        self.unreachable_from().any(|reporter| reporter == observer)
     }
 
-    /// Observers that find it unreachable.
+    /// Observers that report the back end as unreachable.
     pub fn unreachable_from(&self) -> impl Iterator<Item = NodeId> {
         self.votes
             .iter()
@@ -99,12 +101,12 @@
             .map(|vote| vote.stamp.observer)
     }
 
-    /// Versions below this have been used.
-    pub fn saw_version(&mut self, version: u64) {
+    /// Raises the Lamport clock to a version seen elsewhere.
+    pub fn advance_clock(&mut self, version: u64) {
         self.clock = self.clock.max(version);
     }
 
-    /// Writes an own observation, newer than all that is known.
+    /// Records an observation of this node under a version above all versions seen.
     pub fn observe(&mut self, observer: NodeId, fact: HealthFact) -> HealthChange {
         let change = HealthChange {
             back_end: self.key,
@@ -116,7 +118,7 @@
         change
     }
 
-    /// Takes a change, if it is newer. Gives whether it was.
+    /// Merges a change. Returns whether it was newer than the current fact.
     pub fn merge(&mut self, change: &HealthChange) -> bool {
         self.clock = self.clock.max(change.version);
         let stamp = Stamp {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// All facts that were ever set, as changes.
+    /// All facts that have been set, as changes.
     pub fn changes(&self) -> Vec<HealthChange> {
         let readiness = self
             .readiness_stamp
@@ -149,12 +151,12 @@
             .collect()
     }
 
-    /// Forgets what observers said that are no longer there.
+    /// Drops the votes of observers that `present` rejects.
     pub fn retain_observers(&mut self, present: impl Fn(NodeId) -> bool) {
         self.votes.retain(|vote| present(vote.stamp.observer));
     }
 
-    /// Digest of the facts; withdrawn votes do not count, since they are forgotten in time.
+    /// Digest of the facts. Withdrawn votes are left out, since nodes drop them at different times.
     pub fn digest(&self) -> u64 {
         let readiness = self.readiness_stamp.map(|stamp| (0, stamp));
         let snapshots = self.snapshots_stamp.map(|stamp| (1, stamp));
@@ -165,7 +167,7 @@
             .fold(0, |left, right| left ^ right)
     }
 
-    /// The record that the other parts of the node get.
+    /// Health record for the other modules of this node.
     pub fn record(&self, observer: NodeId, reachable: bool) -> HealthRecord {
         HealthRecord {
             back_end: self.back_end.clone(),
@@ -186,15 +188,16 @@
         }
     }
 
-    /// Of two changes of one version, leaving wins: it costs less to send no work for a while
-    /// than to send work to a back end that leaves.
+    /// At equal versions, leaving wins: sending no work for a while is cheaper than sending work to
+    /// a back end that is leaving.
     fn merge_readiness(&mut self, stamp: Stamp, readiness: Readiness) -> bool {
         let rank = |stamp: Stamp, readiness: Readiness| {
             let leaving = readiness == Readiness::Leaving;
             (stamp.version, leaving, stamp.observer)
         };
-        let held = self.readiness_stamp;
-        let newer = held.is_none_or(|held| rank(stamp, readiness) > rank(held, self.readiness));
+        let current = self.readiness_stamp;
+        let newer =
+            current.is_none_or(|current| rank(stamp, readiness) > rank(current, self.readiness));
         if newer {
             self.readiness = readiness;
             self.readiness_stamp = Some(stamp);
@@ -206,7 +209,7 @@
         let rank = |stamp: Stamp| (stamp.version, stamp.observer);
         let newer = self
             .snapshots_stamp
-            .is_none_or(|held| rank(stamp) > rank(held));
+            .is_none_or(|current| rank(stamp) > rank(current));
         if newer {
             self.snapshots = snapshots.to_vec();
             self.snapshots_stamp = Some(stamp);
@@ -216,11 +219,11 @@
 
     fn merge_vote(&mut self, stamp: Stamp, unreachable: bool) -> bool {
         let mut votes = self.votes.iter_mut();
-        let held = votes.find(|vote| vote.stamp.observer == stamp.observer);
-        match held {
-            Some(held) if stamp.version <= held.stamp.version => false,
-            Some(held) => {
-                *held = Vote { stamp, unreachable };
+        let current = votes.find(|vote| vote.stamp.observer == stamp.observer);
+        match current {
+            Some(current) if stamp.version <= current.stamp.version => false,
+            Some(current) => {
+                *current = Vote { stamp, unreachable };
                 true
             }
             None => {
--- a/crates/thornbridge-core/src/health/mod.rs
+++ b/crates/thornbridge-core/src/health/mod.rs
@@ -1,18 +1,20 @@
-//! Sharing of back ends' health among nodes, as changes only.
+//! Sharing of back-end health among nodes.
 //!
-//! Probing is divided: in each region a few nodes probe a back end (`assignment`). What they
-//! see is kept as facts (`facts`) that all nodes hold alike; a change is gossiped once, and
-//! digests are compared now and then. Load is not shared, since it is old before it arrives.
-//! A back end's own word (readiness, snapshots) is taken from any observer; that it cannot be
-//! reached is believed of oneself, or where observers of the same region agree.
+//! In each region, a few nodes probe a back end (`assignment`). Their observations are facts
+//! (`facts`) replicated to all nodes: each change is gossiped, and anti-entropy repairs what gossip
+//! missed (`dissemination`). Load is not shared, since it would be stale on arrival.
+//!
+//! What a back end reports itself (readiness, snapshots) is accepted from any observer. A back end
+//! counts as unreachable where this node's own probes fail, or enough observers of this node's
+//! region agree.
 
 mod assignment;
+mod bootstrap;
+mod dissemination;
 mod facts;
-mod learning;
 mod observation;
 mod parameters;
-mod spreading;
-mod watching;
+mod probing;
 
 pub use parameters::{HealthCounters, HealthParameters};
 
@@ -23,9 +25,9 @@
 use crate::signal::Signal;
 use crate::time::Timestamp;
 use assignment::Observers;
-use facts::{FactName, Facts};
-use learning::Learning;
-use observation::{LeavingHold, Probing, PublishLimit};
+use bootstrap::Bootstrap;
+use facts::{FactKind, Facts};
+use observation::{LeavingHold, ProbeState, PublishRateLimit};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,48 +36,50 @@
 use thornbridge_proto::peer::health::{BackEndKey, HealthChange, HealthFact, HealthRecord};
 use thornbridge_proto::{BackEndId, ZoneName};
 
-/// Changes of membership are gathered this long before probing is divided anew.
-const ASSIGNMENT_DELAY: Duration = Duration::from_millis(500);
+/// Delay between a membership change and the reassignment of back ends, to batch changes.
+const REASSIGNMENT_DELAY: Duration = Duration::from_millis(500);
 
-/// One back end of the configuration in force.
+/// A back end of the active configuration.
 #[derive(Debug)]
-struct Watched {
+struct MonitoredBackEnd {
     id: BackEndId,
     address: SocketAddr,
     zone: ZoneName,
     facts: Facts,
-    probing: Option<Probing>,
+    /// Set while this node is assigned to probe the back end.
+    probe_state: Option<ProbeState>,
     hold: LeavingHold,
-    readiness_limit: PublishLimit,
-    snapshots_limit: PublishLimit,
+    readiness_rate_limit: PublishRateLimit,
+    snapshots_rate_limit: PublishRateLimit,
 }
 
 /// Health sharing of one node.
 #[derive(Debug)]
 pub struct HealthSharing {
     parameters: HealthParameters,
-    back_ends: BTreeMap<BackEndKey, Watched>,
+    back_ends: BTreeMap<BackEndKey, MonitoredBackEnd>,
     observers: Observers,
     neighbours: Vec<PeerEndpoint>,
-    members: usize,
-    schedule: BTreeSet<(Timestamp, BackEndKey)>,
-    stretch: f64,
-    assign_at: Option<Timestamp>,
-    queue: TransmissionQueue<(BackEndKey, FactName), HealthChange>,
-    budget: SendBudget,
+    member_count: usize,
+    probe_schedule: BTreeSet<(Timestamp, BackEndKey)>,
+    /// Factor on probe intervals that keeps this node within its probe rate.
+    interval_factor: f64,
+    reassign_at: Option<Timestamp>,
+    gossip_queue: TransmissionQueue<(BackEndKey, FactKind), HealthChange>,
+    gossip_budget: SendBudget,
     sync_budget: SendBudget,
     sync: SyncSchedule,
     next_gossip: Timestamp,
     expects_peers: bool,
-    learning: Learning,
+    bootstrap: Bootstrap,
     counters: HealthCounters,
 }
 
 impl HealthSharing {
-    /// Health sharing without back ends, on a node that expects to find peers or not.
+    /// Creates health sharing without back ends; `expects_peers` if the node has seeds.
     pub fn new(parameters: HealthParameters, expects_peers: bool) -> Self {
         Self {
-            budget: SendBudget::new(
+            gossip_budget: SendBudget::new(
                 parameters.gossip_bytes_per_second,
                 parameters.gossip_burst_bytes,
             ),
@@ -88,164 +92,165 @@
             back_ends: BTreeMap::new(),
             observers: Observers::default(),
             neighbours: Vec::new(),
-            members: 1,
-            schedule: BTreeSet::new(),
-            stretch: 1.0,
-            assign_at: None,
-            queue: TransmissionQueue::default(),
+            member_count: 1,
+            probe_schedule: BTreeSet::new(),
+            interval_factor: 1.0,
+            reassign_at: None,
+            gossip_queue: TransmissionQueue::default(),
             next_gossip: Timestamp::ZERO,
             expects_peers,
-            learning: Learning::Idle,
+            bootstrap: Bootstrap::Idle,
             counters: HealthCounters::default(),
         }
     }
 
-    /// Takes a new configuration. Back ends that are not in it are forgotten.
+    /// Installs a configuration. Facts about removed back ends are dropped.
     pub fn install(&mut self, context: &mut Context<'_>, in_force: &InForce) {
-        let mut before = std::mem::take(&mut self.back_ends);
+        let mut previous = std::mem::take(&mut self.back_ends);
         for back_end in in_force.bundle.back_ends() {
             let key = facts::key_of(&back_end.id);
-            let kept = before.remove(&key);
-            let mut watched = kept.unwrap_or_else(|| Watched::new(back_end.id.clone(), back_end));
-            watched.address = back_end.address;
-            watched.zone = back_end.zone.clone();
-            self.back_ends.insert(key, watched);
+            let existing = previous.remove(&key);
+            let mut monitored =
+                existing.unwrap_or_else(|| MonitoredBackEnd::new(back_end.id.clone(), back_end));
+            monitored.address = back_end.address;
+            monitored.zone = back_end.zone.clone();
+            self.back_ends.insert(key, monitored);
         }
-        for (key, gone) in before {
-            if let Some(probing) = gone.probing {
-                self.schedule.remove(&(probing.due, key));
+        for (key, removed) in previous {
+            if let Some(probe_state) = removed.probe_state {
+                self.probe_schedule.remove(&(probe_state.due, key));
             }
         }
-        self.assign(context);
+        self.assign_back_ends(context);
         self.sync.hasten(context.now, context.random);
-        self.learning.begin(&self.parameters, context.now);
+        self.bootstrap.start(&self.parameters, context.now);
         if !self.expects_peers && self.neighbours.is_empty() {
-            self.learning = Learning::Done;
+            self.bootstrap = Bootstrap::Done;
         }
-        self.learn(context);
+        self.request_facts_due(context);
     }
 
-    /// Takes a new member list.
+    /// Applies a new member list.
     pub fn members_changed(&mut self, context: &mut Context<'_>, view: &MemberView) {
         self.observers = Observers::new(view);
         self.neighbours = view.neighbours().to_vec();
-        self.members = view.members().len();
-        if self.assign_at.is_none() {
-            self.assign_at = Some(context.now + ASSIGNMENT_DELAY);
+        self.member_count = view.members().len();
+        if self.reassign_at.is_none() {
+            self.reassign_at = Some(context.now + REASSIGNMENT_DELAY);
         }
         if self.sync.next() == Timestamp::MAX && !self.neighbours.is_empty() {
             self.sync.plan(context.now, context.random);
         }
-        self.learn(context);
+        self.request_facts_due(context);
     }
 
-    /// Whether this node knows which back ends leave, as far as its peers do.
+    /// Whether the bootstrap has ended.
     pub fn is_informed(&self) -> bool {
-        self.learning == Learning::Done
+        self.bootstrap == Bootstrap::Done
     }
 
-    /// Counters.
+    /// Counters of health sharing.
     pub fn counters(&self) -> &HealthCounters {
         &self.counters
     }
 
-    /// What is known of a back end, as this node believes it.
+    /// Health of a back end as seen by this node.
     pub fn record(&self, back_end: &BackEndId) -> Option<HealthRecord> {
-        let watched = self.back_ends.get(&facts::key_of(back_end))?;
-        Some(self.record_of(watched))
+        let monitored = self.back_ends.get(&facts::key_of(back_end))?;
+        Some(self.record_of(monitored))
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let probe = self.schedule.first().map(|(due, _)| *due);
-        let linked = !self.neighbours.is_empty();
-        let gossip = (linked && !self.queue.is_empty()).then_some(self.next_gossip);
-        let sync = linked.then_some(self.sync.next());
-        let learning = self.learning.next_timeout(linked);
-        [probe, gossip, sync, learning, self.assign_at]
+        let probe = self.probe_schedule.first().map(|(due, _)| *due);
+        let has_neighbours = !self.neighbours.is_empty();
+        let gossip = (has_neighbours && !self.gossip_queue.is_empty()).then_some(self.next_gossip);
+        let sync = has_neighbours.then_some(self.sync.next());
+        let bootstrap = self.bootstrap.next_timeout(has_neighbours);
+        [probe, gossip, sync, bootstrap, self.reassign_at]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Probes and gossips when it is time.
+    /// Runs what is due: reassignment, bootstrap, probes, gossip and anti-entropy.
     pub fn timer_due(&mut self, context: &mut Context<'_>) {
-        if self.assign_at.is_some_and(|due| due <= context.now) {
-            self.assign(context);
+        if self.reassign_at.is_some_and(|due| due <= context.now) {
+            self.assign_back_ends(context);
         }
-        self.learn(context);
+        self.request_facts_due(context);
         self.probes_due(context);
         self.gossip_due(context);
         self.sync_due(context);
     }
 
-    /// The process was paused: probes under way mean nothing.
+    /// Handles a pause of the process: discards probes in flight.
     pub fn clock_jumped(&mut self, context: &mut Context<'_>) {
         self.restart_probes(context);
         self.sync.hasten(context.now, context.random);
     }
 
-    fn record_of(&self, watched: &Watched) -> HealthRecord {
-        watched
+    fn record_of(&self, monitored: &MonitoredBackEnd) -> HealthRecord {
+        monitored
             .facts
-            .record(self.observers.own(), self.is_reachable(&watched.facts))
+            .record(self.observers.own(), self.is_reachable(&monitored.facts))
     }
 
-    /// Own failures count at once; those of others where enough of this region agree.
+    /// Own failed probes suffice; votes of others need enough observers of this region to agree.
     fn is_reachable(&self, facts: &Facts) -> bool {
         if facts.is_unreachable_from(self.observers.own()) {
             return false;
         }
-        let agreeing = self.observers.in_own_region(facts.unreachable_from());
-        let wanted = self.parameters.agreeing_observers;
-        agreeing < wanted.min(self.observers.count_in_region()).max(1)
+        let agreeing = self.observers.count_in_own_region(facts.unreachable_from());
+        let required = self.parameters.agreeing_observers;
+        agreeing < required.min(self.observers.observer_count()).max(1)
     }
 
-    /// Tells the other parts of this node what it believes of a back end.
-    fn tell(&self, context: &mut Context<'_>, key: BackEndKey) {
-        if let Some(watched) = self.back_ends.get(&key) {
-            context.signal(Signal::BackEndHealth(self.record_of(watched)));
+    /// Signals a back end's health to the other modules of this node.
+    fn signal_health(&self, context: &mut Context<'_>, key: BackEndKey) {
+        if let Some(monitored) = self.back_ends.get(&key) {
+            context.signal(Signal::BackEndHealth(self.record_of(monitored)));
         }
     }
 }
 
-impl Watched {
+impl MonitoredBackEnd {
     fn new(id: BackEndId, back_end: &thornbridge_config::bundle::BackEnd) -> Self {
         Self {
             facts: Facts::new(id.clone()),
             id,
             address: back_end.address,
             zone: back_end.zone.clone(),
-            probing: None,
+            probe_state: None,
             hold: LeavingHold::default(),
-            readiness_limit: PublishLimit::default(),
-            snapshots_limit: PublishLimit::default(),
+            readiness_rate_limit: PublishRateLimit::default(),
+            snapshots_rate_limit: PublishRateLimit::default(),
         }
     }
 
-    /// Notes a change of a fact, whoever saw it: all observers of a back end that contradicts
-    /// itself slow down together.
-    fn note_change(&mut self, parameters: &HealthParameters, now: Timestamp, fact: &HealthFact) {
+    /// Records a change of a fact, observed here or at a peer, so that all observers of a flapping
+    /// back end back off.
+    fn record_change(&mut self, parameters: &HealthParameters, now: Timestamp, fact: &HealthFact) {
         match fact {
             HealthFact::Readiness(readiness) => {
-                self.readiness_limit.changed(parameters, now);
-                self.follow(now, *readiness);
+                self.readiness_rate_limit.record_change(parameters, now);
+                self.update_leaving_hold(now, *readiness);
             }
-            HealthFact::Snapshots(_) => self.snapshots_limit.changed(parameters, now),
+            HealthFact::Snapshots(_) => self.snapshots_rate_limit.record_change(parameters, now),
             HealthFact::Unreachable(_) => {}
         }
     }
 
-    /// Starts, keeps or ends the hold of a back end that leaves.
-    fn follow(&mut self, now: Timestamp, readiness: Readiness) {
+    /// Starts, keeps or ends the hold-down of a leaving back end.
+    fn update_leaving_hold(&mut self, now: Timestamp, readiness: Readiness) {
         match readiness {
-            Readiness::Leaving => self.hold.leaving(now),
-            Readiness::Ready | Readiness::Cold => self.hold.ended(),
+            Readiness::Leaving => self.hold.leaving_reported(now),
+            Readiness::Ready | Readiness::Cold => self.hold.reset(),
         }
     }
 
-    /// Whether a word that it takes work is to be published now.
-    fn may_return(&mut self, parameters: &HealthParameters, now: Timestamp) -> bool {
-        self.hold.believes(parameters, now) && self.readiness_limit.allows(now)
+    /// Whether to accept and publish a report of readiness.
+    fn accepts_ready(&mut self, parameters: &HealthParameters, now: Timestamp) -> bool {
+        self.hold.accepts_ready(parameters, now) && self.readiness_rate_limit.allows(now)
     }
 }
--- a/crates/thornbridge-core/src/health/observation.rs
+++ b/crates/thornbridge-core/src/health/observation.rs
@@ -1,80 +1,80 @@
-//! What this node's own probes of one back end amount to.
+//! State of this node's own probes of a back end, and filters on what it publishes of them.
 
 use super::HealthParameters;
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Probing of one back end by this node.
+/// State of this node's probes of one back end.
 #[derive(Clone, Debug)]
-pub struct Probing {
-    /// When the next probe goes out, or the one under way has failed.
+pub struct ProbeState {
+    /// When the next probe is sent, or the one in flight times out.
     pub due: Timestamp,
-    /// A probe is under way.
-    pub waiting: bool,
-    /// Probes failed in a row.
-    pub failed: u32,
+    /// Whether a probe is in flight.
+    pub in_flight: bool,
+    /// Consecutive failed probes.
+    pub consecutive_failures: u32,
 }
 
-/// Keeps a back end that contradicts itself from being published at each probe.
+/// Rate limit on publishing a fact that keeps changing, with exponential backoff.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PublishLimit {
-    next: Timestamp,
+pub struct PublishRateLimit {
+    next_allowed: Timestamp,
     interval: Duration,
 }
 
-impl PublishLimit {
-    /// Whether a change may be published now.
+impl PublishRateLimit {
+    /// Whether a change may be published.
     pub fn allows(&self, now: Timestamp) -> bool {
-        now >= self.next
+        now >= self.next_allowed
     }
 
-    /// The fact changed, here or at a peer.
-    pub fn changed(&mut self, parameters: &HealthParameters, now: Timestamp) {
-        let calm = now.since(self.next) > self.interval * 4;
-        self.interval = if calm || self.interval.is_zero() {
+    /// Records a change of the fact, here or at a peer.
+    pub fn record_change(&mut self, parameters: &HealthParameters, now: Timestamp) {
+        let stable = now.since(self.next_allowed) > self.interval * 4;
+        self.interval = if stable || self.interval.is_zero() {
             parameters.publish_interval
         } else {
             (self.interval * 2).min(parameters.publish_interval_maximum)
         };
-        self.next = now + self.interval;
+        self.next_allowed = now + self.interval;
     }
 }
 
-/// Decides when a back end that was leaving has come back.
+/// Hold-down of a leaving back end: decides when a report of readiness is accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeavingHold {
-    since: Option<Timestamp>,
-    restarted: bool,
+    leaving_since: Option<Timestamp>,
+    may_have_restarted: bool,
     ready_probes: u32,
 }
 
 impl LeavingHold {
-    /// The back end is leaving, as of now.
-    pub fn leaving(&mut self, now: Timestamp) {
-        if self.since.is_none() {
-            self.since = Some(now);
-            self.restarted = false;
+    /// Records a report that the back end is leaving.
+    pub fn leaving_reported(&mut self, now: Timestamp) {
+        if self.leaving_since.is_none() {
+            self.leaving_since = Some(now);
+            self.may_have_restarted = false;
         }
         self.ready_probes = 0;
     }
 
-    /// The back end is known not to be leaving any more.
-    pub fn ended(&mut self) {
+    /// Ends the hold; the back end is known not to be leaving.
+    pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// The back end could not be reached: what answers next may be another run of it.
-    pub fn unreachable(&mut self) {
-        self.restarted = true;
+    /// Records that the back end was unreachable, so it may have restarted.
+    pub fn record_unreachable(&mut self) {
+        self.may_have_restarted = true;
     }
 
-    /// The back end says that it takes work. Whether that is to be believed.
-    pub fn believes(&mut self, parameters: &HealthParameters, now: Timestamp) -> bool {
-        let Some(since) = self.since else {
+    /// Whether a report of readiness ends the hold. Counts the report.
+    pub fn accepts_ready(&mut self, parameters: &HealthParameters, now: Timestamp) -> bool {
+        let Some(leaving_since) = self.leaving_since else {
             return true;
         };
         self.ready_probes += 1;
-        let held = now.since(since) >= parameters.leaving_hold;
-        self.restarted || (held && self.ready_probes >= parameters.ready_probes)
+        let hold_elapsed = now.since(leaving_since) >= parameters.leaving_hold;
+        self.may_have_restarted || (hold_elapsed && self.ready_probes >= parameters.ready_probes)
     }
 }
--- a/crates/thornbridge-core/src/health/parameters.rs
+++ b/crates/thornbridge-core/src/health/parameters.rs
@@ -1,70 +1,69 @@
-//! Tunable values and counters of health sharing.
+//! Parameters and counters of health sharing.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values.
+/// Parameters of health sharing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HealthParameters {
-    /// Time that a new node asks peers for what they know before it takes callers without.
+    /// Time that a new node requests facts from peers before it accepts callers without them.
     pub learning_limit: Duration,
-    /// Time until it asks another.
+    /// Interval between these requests.
     pub learning_interval: Duration,
-    /// Nodes of each region that probe a back end. Two, so that one broken link is not taken
-    /// for a broken back end.
+    /// Nodes of each region that probe a back end. More than one, so that a broken link is not
+    /// taken for a broken back end.
     pub observers_per_region: usize,
-    /// Time between probes of a back end in the node's own region. With spreading under a
-    /// second, a back end's leaving is known within three even when nothing is sent to it.
+    /// Interval between probes of a back end in the node's own region. Bounds the time until a leaving
+    /// back end without traffic is detected.
     pub probe_interval: Duration,
-    /// Time between probes of a back end in another region, which the nodes there watch closely.
+    /// Interval between probes of a back end in another region, which nodes there probe more often.
     pub remote_probe_interval: Duration,
-    /// Time until a probe that failed is repeated.
+    /// Delay until a failed probe is retried.
     pub confirm_interval: Duration,
-    /// Failed probes in a row that make a back end unreachable for this node.
+    /// Consecutive failed probes after which this node finds a back end unreachable.
     pub failed_probes: u32,
-    /// A probe that the driver has neither answered nor failed by then has failed.
+    /// Time after which a probe without a result from the driver counts as failed.
     pub probe_timeout: Duration,
-    /// Most probes a second; intervals stretch where there are too few nodes.
+    /// Maximum probes per second and node; with too few nodes, the intervals grow instead.
     pub probes_per_second: f64,
-    /// Observers of this node's region that must agree before a back end counts as unreachable
-    /// for nodes that have not tried it themselves.
+    /// Observers of this node's region that must agree before a back end counts as unreachable for
+    /// nodes that do not probe it.
     pub agreeing_observers: usize,
-    /// How long a word of leaving stands against words of being ready, which may lag.
+    /// Hold-down of a leaving back end, in which reports of readiness are ignored as stale.
     pub leaving_hold: Duration,
-    /// Probes in a row that must say ready after that.
+    /// Consecutive probes that must report readiness after the hold-down.
     pub ready_probes: u32,
-    /// Least time between two changes of one fact that this node publishes; doubles while the
-    /// fact keeps changing, so that a back end that contradicts itself costs little.
+    /// Minimum interval between two published changes of one fact. Doubles while the fact keeps
+    /// changing, so that a flapping back end causes little traffic.
     pub publish_interval: Duration,
-    /// Longest such time.
+    /// Upper bound of the doubled interval.
     pub publish_interval_maximum: Duration,
-    /// Each node sends a change `ceil(ln(members)) + transmission_margin` times, so the chance
-    /// that some node hears it from nobody is about `exp(-transmission_margin)`: 8 makes it 1 in
-    /// 3,000 where 4 made it 1 in 55, and such a node waits for the next exchange of digests.
+    /// Each node sends a change `ceil(ln(members)) + transmission_margin` times. The probability that
+    /// some node misses the change is about `exp(-transmission_margin)`; anti-entropy repairs that.
     pub transmission_margin: u32,
-    /// Times that each node sends a change of snapshots: many come at once, none is urgent, and
-    /// anti-entropy brings what was missed.
+    /// Times that each node sends a change of snapshots. Low, since such changes come in bursts and
+    /// are not urgent; anti-entropy repairs what is missed.
     pub snapshot_transmissions: u32,
-    /// Time between rounds of gossip, while there is news.
+    /// Interval between gossip rounds while changes are queued.
     pub gossip_interval: Duration,
-    /// Neighbours that a round of gossip goes to.
+    /// Neighbours per gossip round.
     pub gossip_fanout: usize,
-    /// Largest sum of changes on one message, in bytes.
+    /// Maximum size of the changes in one message, in bytes.
     pub message_limit_bytes: usize,
-    /// Bytes of changes a second that a node sends over longer times.
+    /// Sustained rate of gossiped changes, in bytes per second.
     pub gossip_bytes_per_second: u32,
-    /// Bytes of changes that a node may send at once after a quiet time.
+    /// Burst of gossiped changes, in bytes.
     pub gossip_burst_bytes: u32,
-    /// Time between exchanges of digests with a neighbour.
+    /// Interval between anti-entropy exchanges.
     pub sync_interval: Duration,
-    /// The same after an exchange that found a difference.
+    /// Interval after an exchange that found a difference.
     pub sync_interval_differing: Duration,
-    /// Buckets of facts that one exchange sends at most.
+    /// Maximum buckets of facts sent per exchange.
     pub sync_buckets: usize,
-    /// Bytes of facts a second that a node sends in exchanges over longer times.
+    /// Sustained rate of facts sent in exchanges, in bytes per second.
     pub sync_bytes_per_second: u32,
-    /// Bytes of facts that a node may send in exchanges at once after a quiet time.
+    /// Burst of facts sent in exchanges, in bytes.
     pub sync_burst_bytes: u32,
 }
 
@@ -101,7 +100,7 @@
     }
 }
 
-/// Counters.
+/// Counters of health sharing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthCounters {
     /// Back ends that this node probes.
@@ -110,15 +109,14 @@
     pub probes: u64,
     /// Probes that failed.
     pub probes_failed: u64,
-    /// Changes seen first by this node.
+    /// Changes observed and published by this node.
     pub published: u64,
-    /// Changes learnt from peers.
+    /// Changes received from peers.
     pub learnt: u64,
-    /// Observations not published, since the back end contradicts itself or a lagging report
-    /// contradicts its leaving.
+    /// Observations not published because of the rate limit or the hold-down of a leaving back end.
     pub held_back: u64,
-    /// Back ends that this node found unreachable.
+    /// Times that this node found a back end unreachable.
     pub unreachable: u64,
-    /// Exchanges of digests that found a difference.
+    /// Anti-entropy exchanges that found a difference.
     pub syncs_differing: u64,
 }
--- a/crates/thornbridge-core/src/membership/gossip_queue.rs
+++ b/crates/thornbridge-core/src/membership/gossip_queue.rs
@@ -54,7 +54,7 @@
             ..
         } => Urgency::Leaving,
         MemberUpdate::State { .. } => Urgency::State,
-        MemberUpdate::Suspicion { .. } => Urgency::Hint,
-        MemberUpdate::Record(_) => Urgency::Description,
+        MemberUpdate::Suspicion { .. } => Urgency::Unconfirmed,
+        MemberUpdate::Record(_) => Urgency::Metadata,
     }
 }
