--- a/crates/thornbridge-core/src/membership/anti_entropy.rs
+++ b/crates/thornbridge-core/src/membership/anti_entropy.rs
@@ -1,9 +1,9 @@
-//! Repair of what gossip missed: two members compare digests, and exchange what differs.
+//! Anti-entropy: repairs member tables that gossip left different.
 //!
-//! A table of 690 members is too big to send often. So a digest of the whole goes first, then,
-//! only where it differs, the digests of buckets, then how the members of some buckets stand, and
-//! at last the records that one of the two lacks. Suspicions pass and dead members are forgotten at
-//! different times, so a digest covers neither.
+//! Two members compare a digest of their whole table. If the digests differ, the members exchange
+//! digests of buckets, then incarnations and states of the members in some differing buckets, then
+//! the records that either lacks. Digests cover neither suspicions nor dead members, since nodes
+//! drop these at different times.
 
 use super::{Membership, send};
 use crate::context::Context;
@@ -18,7 +18,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 impl Membership {
-    /// Sends the table's digest to a neighbour when it is time.
+    /// Starts an exchange with a neighbour, if one is due.
     pub(super) fn sync_due(&mut self, context: &mut Context<'_>) {
         if context.now < self.sync.next() {
             return;
@@ -33,8 +33,8 @@
         }
     }
 
-    /// A peer's digest of its whole table.
-    pub(super) fn take_digest(
+    /// Handles a peer's digest of its whole table.
+    pub(super) fn handle_digest(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -49,8 +49,8 @@
         send(context, from.address, answer);
     }
 
-    /// A peer's digests by bucket: sends it some of the buckets that differ.
-    pub(super) fn take_bucket_digests(
+    /// Handles a peer's bucket digests: sends some of the differing buckets.
+    pub(super) fn handle_bucket_digests(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -66,9 +66,9 @@
         self.send_repair(context, from, MembershipMessage::Buckets { buckets, keys });
     }
 
-    /// How a peer's members in some buckets stand: takes that, answers with what is newer here, and
-    /// asks for the records that are lacking.
-    pub(super) fn take_buckets(
+    /// Handles a peer's member states in some buckets: applies these, replies with newer records, and
+    /// requests the records that are missing here.
+    pub(super) fn handle_buckets(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -82,19 +82,19 @@
             self.send_repair(context, from, MembershipMessage::Newer { batch });
         }
         let own = self.own.endpoint.node;
-        let known = |node: NodeId| node == own || self.table.get(node).is_some();
-        let lacking = keys.iter().map(|key| key.node);
-        let nodes: Vec<NodeId> = lacking.filter(|node| !known(*node)).collect();
+        let is_known = |node: NodeId| node == own || self.table.get(node).is_some();
+        let listed = keys.iter().map(|key| key.node);
+        let nodes: Vec<NodeId> = listed.filter(|node| !is_known(*node)).collect();
         if !nodes.is_empty() {
             send(context, from.address, MembershipMessage::Wanted { nodes });
         }
         for key in keys {
-            self.take_state(context, key.node, key.incarnation, key.state);
+            self.apply_state(context, key.node, key.incarnation, key.state);
         }
     }
 
-    /// A peer lacks the records of these members.
-    pub(super) fn wanted(
+    /// Handles a request for the records of members unknown to a peer.
+    pub(super) fn handle_wanted(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
@@ -109,6 +109,7 @@
         }
     }
 
+    /// Records that supersede the peer's, and those that the peer lacks.
     fn newer_than(
         &self,
         buckets: &[u8],
--- a/crates/thornbridge-core/src/membership/gossip_queue.rs
+++ b/crates/thornbridge-core/src/membership/gossip_queue.rs
@@ -1,22 +1,23 @@
-//! Member updates waiting to ride on messages.
+//! Queue of member updates to piggyback on messages.
 
 use crate::gossip::{Allowance, TransmissionQueue, Urgency};
 use thornbridge_proto::NodeId;
 use thornbridge_proto::frame;
 use thornbridge_proto::peer::membership::{MemberState, MemberUpdate};
 
-/// What an update is about. Suspicions by different members stand beside each other, since they
-/// confirm each other.
+/// Subject of an update: a member and, for a suspicion, the member that raised it. Suspicions of
+/// different members are queued separately, since they confirm each other.
 type Subject = (NodeId, Option<NodeId>);
 
-/// The queue.
+/// Queue of member updates.
 #[derive(Debug, Default)]
 pub struct GossipQueue {
     queue: TransmissionQueue<Subject, MemberUpdate>,
 }
 
 impl GossipQueue {
-    /// Adds an update in place of older ones about the same member.
+    /// Queues an update, replacing older ones on the same subject. A record or state also replaces all
+    /// suspicions of its member.
     pub fn push(&mut self, update: MemberUpdate, transmissions: u32) {
         let Ok(encoded) = frame::encode(&update) else {
             return;
@@ -27,21 +28,25 @@
             MemberUpdate::Record(_) | MemberUpdate::State { .. } => None,
         };
         if suspected_by.is_none() {
-            let all_suspicions = (node, None)..=(node, Some(NodeId(u64::MAX)));
-            self.queue.remove_range(all_suspicions);
+            let suspicions_of_node = (node, None)..=(node, Some(NodeId(u64::MAX)));
+            self.queue.remove_range(suspicions_of_node);
         }
         let urgency = urgency(&update);
-        let sized = (update, encoded.len());
-        self.queue
-            .push((node, suspected_by), urgency, transmissions, sized);
+        let update_with_size = (update, encoded.len());
+        self.queue.push(
+            (node, suspected_by),
+            urgency,
+            transmissions,
+            update_with_size,
+        );
     }
 
-    /// Takes updates for one message.
+    /// Takes updates for one message, within the allowance.
     pub fn take(&mut self, allowance: Allowance) -> Vec<MemberUpdate> {
         self.queue.take(allowance)
     }
 
-    /// Whether nothing waits.
+    /// Whether no update is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
--- a/crates/thornbridge-core/src/membership/joining.rs
+++ b/crates/thornbridge-core/src/membership/joining.rs
@@ -1,5 +1,8 @@
-//! Joining: through seeds, else through the platform's list of machines; and finding the rest of
-//! a cluster that started in parts.
+//! Schedule of attempts to join the cluster.
+//!
+//! A node joins through its seeds, else through addresses from the platform's list of machines. A
+//! joined node keeps contacting seeds that are not members, to merge clusters that formed
+//! separately.
 
 #[cfg(test)]
 mod tests;
@@ -11,38 +14,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// When and where to send the next [`Join`](thornbridge_proto::peer::membership::MembershipMessage::Join).
+/// When and where to send the next
+/// [`Join`](thornbridge_proto::peer::membership::MembershipMessage::Join).
 #[derive(Debug)]
-pub struct Joining {
+pub struct JoinSchedule {
     own: SocketAddr,
     seeds: Vec<SocketAddr>,
-    hinted: Vec<SocketAddr>,
+    /// Addresses from the platform's list of machines.
+    discovered: Vec<SocketAddr>,
     joined: bool,
     interval: Duration,
     next_attempt: Timestamp,
     list_interval: Duration,
-    next_list: Timestamp,
+    next_list_request: Timestamp,
 }
 
-impl Joining {
-    /// Joining through seeds; `own` is not one of them.
+impl JoinSchedule {
+    /// Creates a schedule over the seeds, without the node's own address.
     pub fn new(parameters: &MembershipParameters, own: SocketAddr, seeds: Vec<SocketAddr>) -> Self {
         let mut seeds = seeds;
         seeds.retain(|address| *address != own);
         Self {
             own,
             seeds,
-            hinted: Vec::new(),
+            discovered: Vec::new(),
             joined: false,
             interval: parameters.join_interval,
             next_attempt: Timestamp::ZERO,
             list_interval: parameters.machine_list_interval,
-            next_list: Timestamp::MAX,
+            next_list_request: Timestamp::MAX,
         }
     }
 
-    /// The node starts, or has lost all others: joins at once, and asks the platform later.
-    pub fn alone(
+    /// Restarts joining, at the node's start or after the loss of all other members. The list of
+    /// machines is requested only after a delay.
+    pub fn restart(
         &mut self,
         parameters: &MembershipParameters,
         now: Timestamp,
@@ -52,40 +58,41 @@
         self.interval = parameters.join_interval;
         self.next_attempt = now;
         self.list_interval = parameters.machine_list_interval;
-        self.next_list = now + jittered(parameters.machine_list_delay, random);
+        self.next_list_request = now + jittered(parameters.machine_list_delay, random);
     }
 
-    /// A peer sent its member list. The other seeds are asked soon after the first list, and ever
-    /// more rarely later: two nodes that joined through each other know nobody else.
-    pub fn joined(&mut self, parameters: &MembershipParameters, now: Timestamp) {
+    /// Records that a peer sent its member list. Seeds that are not members are still contacted, with
+    /// growing intervals, since nodes that joined through each other may have found no others.
+    pub fn mark_joined(&mut self, parameters: &MembershipParameters, now: Timestamp) {
         if self.joined {
             return;
         }
         self.joined = true;
-        self.hinted.clear();
-        self.next_list = Timestamp::MAX;
+        self.discovered.clear();
+        self.next_list_request = Timestamp::MAX;
         self.interval = parameters.join_interval;
         self.next_attempt = now + self.interval;
     }
 
-    /// Whether this node joined so long ago that a seed without a member is compared with, rather
-    /// than asked for all members: after a region split all nodes turn to the same few seeds.
-    pub fn is_settled(&self, parameters: &MembershipParameters) -> bool {
+    /// Whether this node joined long ago, so that the interval has reached its maximum. Seeds that are
+    /// not members are then sent a digest instead of a join, since after a region split all nodes
+    /// contact the same few seeds.
+    pub fn is_at_maximum_interval(&self, parameters: &MembershipParameters) -> bool {
         self.joined && self.interval >= parameters.join_interval_maximum
     }
 
-    /// The platform's list came: addresses to try beside the seeds.
-    pub fn hinted(&mut self, now: Timestamp, addresses: impl Iterator<Item = SocketAddr>) {
+    /// Sets the addresses from the platform's list of machines, to try besides the seeds.
+    pub fn set_discovered(&mut self, now: Timestamp, addresses: impl Iterator<Item = SocketAddr>) {
         if !self.joined {
             let own = self.own;
-            self.hinted = addresses.filter(|address| *address != own).collect();
+            self.discovered = addresses.filter(|address| *address != own).collect();
             self.next_attempt = now;
         }
     }
 
-    /// The address to try now, if it is time; plans the next attempt. Once joined, only seeds at
-    /// which there is no member are tried.
-    pub fn due(
+    /// Returns the address to contact now, if an attempt is due, and plans the next attempt. After
+    /// joining, only seeds that are not members are contacted.
+    pub fn next_address_due(
         &mut self,
         parameters: &MembershipParameters,
         now: Timestamp,
@@ -98,48 +105,52 @@
         self.next_attempt = now + jittered(self.interval, random);
         self.interval = (self.interval * 2).min(parameters.join_interval_maximum);
         if self.joined {
-            let missing: Vec<SocketAddr> = self.missing(is_member).collect();
-            return missing.choose(random).copied();
+            let non_member_seeds: Vec<SocketAddr> = self.non_member_seeds(is_member).collect();
+            return non_member_seeds.choose(random).copied();
         }
-        let from_hints = !self.hinted.is_empty() && (self.seeds.is_empty() || random.random());
-        let addresses = if from_hints {
-            &self.hinted
+        let use_discovered =
+            !self.discovered.is_empty() && (self.seeds.is_empty() || random.random());
+        let addresses = if use_discovered {
+            &self.discovered
         } else {
             &self.seeds
         };
         addresses.choose(random).copied()
     }
 
-    /// Whether it is time to ask the platform for its list; plans the next question. Rare and
-    /// with jitter, since the platform bears few readers.
-    pub fn list_due(
+    /// Whether to request the platform's list of machines now; plans the next request. Requests back
+    /// off with jitter, since the platform serves only few readers.
+    pub fn machine_list_due(
         &mut self,
         parameters: &MembershipParameters,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> bool {
-        if self.joined || now < self.next_list {
+        if self.joined || now < self.next_list_request {
             return false;
         }
-        self.next_list = now + jittered(self.list_interval, random);
+        self.next_list_request = now + jittered(self.list_interval, random);
         self.list_interval = (self.list_interval * 2).min(parameters.machine_list_interval_maximum);
         true
     }
 
-    /// When [`Self::due`] or [`Self::list_due`] wants to be called.
+    /// When [`Self::next_address_due`] or [`Self::machine_list_due`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let attempt = self.has_addresses().then_some(self.next_attempt);
-        let list = (!self.joined).then_some(self.next_list);
+        let list = (!self.joined).then_some(self.next_list_request);
         attempt.into_iter().chain(list).min()
     }
 
-    fn missing(&self, is_member: impl Fn(SocketAddr) -> bool) -> impl Iterator<Item = SocketAddr> {
+    fn non_member_seeds(
+        &self,
+        is_member: impl Fn(SocketAddr) -> bool,
+    ) -> impl Iterator<Item = SocketAddr> {
         let seeds = self.seeds.iter().copied();
         seeds.filter(move |address| !is_member(*address))
     }
 
     fn has_addresses(&self) -> bool {
-        !(self.seeds.is_empty() && self.hinted.is_empty())
+        !(self.seeds.is_empty() && self.discovered.is_empty())
     }
 }
 
--- a/crates/thornbridge-core/src/membership/local_health.rs
+++ b/crates/thornbridge-core/src/membership/local_health.rs
@@ -1,12 +1,12 @@
-//! How far this node trusts its own judgement of others.
+//! Local health multiplier: adapts probe timeouts to how slow this node itself is.
 //!
-//! A node that is slow itself sees others as slow. Each sign of it raises a counter, each
-//! answered probe lowers it, and timeouts grow with it. Source: Lifeguard, section III
-//! (arXiv:1707.00788).
+//! A slow node would wrongly suspect others. Each sign of local slowness raises a score, each
+//! acknowledged probe lowers the score, and timeouts are multiplied by the score plus one.
+//! Reference: Lifeguard, section III (arXiv:1707.00788).
 
 use std::time::Duration;
 
-/// The local health counter.
+/// Score of this node's own health; 0 is healthy.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalHealth {
     score: u32,
@@ -14,27 +14,27 @@
 }
 
 impl LocalHealth {
-    /// A healthy node. The score never exceeds `limit`.
+    /// Creates a healthy score that never exceeds `limit`.
     pub fn new(limit: u32) -> Self {
         Self { score: 0, limit }
     }
 
-    /// A probe was answered in time.
+    /// Records a probe that was acknowledged in time.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// This many signs that the node itself is slow.
+    /// Records this many signs that the node itself is slow.
     pub fn worsen(&mut self, signs: u32) {
         self.score = self.score.saturating_add(signs).min(self.limit);
     }
 
-    /// A timeout, stretched as the node's own slowness asks for.
-    pub fn stretch(&self, timeout: Duration) -> Duration {
+    /// Scales a timeout or interval by the score.
+    pub fn scale(&self, timeout: Duration) -> Duration {
         timeout * (self.score + 1)
     }
 
-    /// The counter; 0 is healthy.
+    /// Current score; 0 is healthy.
     pub fn score(&self) -> u32 {
         self.score
     }
--- a/crates/thornbridge-core/src/membership/mod.rs
+++ b/crates/thornbridge-core/src/membership/mod.rs
@@ -1,11 +1,12 @@
-//! Who is in the cluster: failure detection, incarnations, leaving.
+//! Cluster membership: failure detection, dissemination, and planned leaving.
 //!
-//! SWIM over a bounded overlay: a node probes its [`overlay`] neighbours in random order, directly
-//! and then through others; a member that does not answer is suspected, has time to refute, and
-//! is then declared dead. News rides on probes and on short rounds of gossip, each update a
-//! bounded number of times, so that nothing but probes is sent while nothing changes.
+//! SWIM over a bounded overlay. A node probes its [`overlay`] neighbours in random order, directly,
+//! then indirectly through other members. A member that does not answer is suspected, may refute
+//! the suspicion with a higher incarnation, and is otherwise declared dead. Updates are piggybacked
+//! on probes and sent in gossip rounds, each a bounded number of times, so that an unchanging
+//! cluster sends only probes.
 //!
-//! Sources: A. Das, I. Gupta, A. Motivala, "SWIM", DSN 2002; "Lifeguard", 2017
+//! References: A. Das, I. Gupta, A. Motivala, "SWIM", DSN 2002; "Lifeguard", 2017
 //! (arXiv:1707.00788).
 
 mod anti_entropy;
@@ -30,10 +31,10 @@
 use crate::signal::Signal;
 use crate::time::Timestamp;
 use gossip_queue::GossipQueue;
-use joining::Joining;
+use joining::JoinSchedule;
 use local_health::LocalHealth;
 use overlay::Neighbours;
-use probe::ProbeBook;
+use probe::ProbeTracker;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,13 +48,12 @@
 use thornbridge_proto::platform::Machine;
 use thornbridge_proto::{Incarnation, NodeId};
 
-/// Least time between two member lists that are published: each costs a walk over all members, and
-/// as many change at once as start or fail together.
+/// Minimum interval between two published member views, which batches simultaneous changes.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
-/// Records in one part of a member list: about 5 kB.
-const MEMBER_LIST_PART: usize = 128;
+/// Records per message of a member list.
+const RECORDS_PER_LIST_MESSAGE: usize = 128;
 
-/// The member list of one node.
+/// Membership of one node.
 #[derive(Debug)]
 pub struct Membership {
     parameters: MembershipParameters,
@@ -61,34 +61,36 @@
     table: MemberTable,
     neighbours: Neighbours,
     suspicions: Suspicions,
-    probes: ProbeBook,
-    queue: GossipQueue,
-    budget: SendBudget,
+    probes: ProbeTracker,
+    gossip_queue: GossipQueue,
+    gossip_budget: SendBudget,
     sync_budget: SendBudget,
-    joining: Joining,
+    joining: JoinSchedule,
     sync: SyncSchedule,
     local_health: LocalHealth,
     counters: MembershipCounters,
     next_probe: Timestamp,
     next_gossip: Timestamp,
     next_dead_probe: Timestamp,
-    wake_at: Timestamp,
+    /// Timeout last reported to the driver; a much later call reveals a pause.
+    expected_wake: Timestamp,
     view_changed: bool,
+    /// Whether members were added, died or revived, so that neighbours change.
     members_changed: bool,
     next_publish: Timestamp,
 }
 
 impl Membership {
-    /// A cluster of one, with peers to join through.
+    /// Creates the membership of a single node, with seeds to join through.
     pub fn new(
         parameters: MembershipParameters,
         own: MemberRecord,
         seeds: Vec<SocketAddr>,
     ) -> Self {
         Self {
-            joining: Joining::new(&parameters, own.endpoint.address, seeds),
+            joining: JoinSchedule::new(&parameters, own.endpoint.address, seeds),
             local_health: LocalHealth::new(parameters.local_health_limit),
-            budget: SendBudget::new(
+            gossip_budget: SendBudget::new(
                 parameters.gossip_bytes_per_second,
                 parameters.gossip_burst_bytes,
             ),
@@ -100,14 +102,14 @@
             table: MemberTable::default(),
             neighbours: Neighbours::default(),
             suspicions: Suspicions::default(),
-            probes: ProbeBook::default(),
-            queue: GossipQueue::default(),
+            probes: ProbeTracker::default(),
+            gossip_queue: GossipQueue::default(),
             sync: SyncSchedule::new(parameters.sync_interval, parameters.sync_interval_differing),
             counters: MembershipCounters::default(),
             next_probe: Timestamp::ZERO,
             next_gossip: Timestamp::ZERO,
             next_dead_probe: Timestamp::ZERO,
-            wake_at: Timestamp::MAX,
+            expected_wake: Timestamp::MAX,
             view_changed: true,
             members_changed: false,
             next_publish: Timestamp::ZERO,
@@ -115,35 +117,37 @@
         }
     }
 
-    /// First call: joins.
+    /// Starts joining. Must be called first.
     pub fn started(&mut self, context: &mut Context<'_>) {
         self.next_probe = context.now + self.parameters.probe_period;
         self.next_dead_probe = context.now + self.parameters.dead_probe_interval;
         let random = &mut *context.random;
-        self.joining.alone(&self.parameters, context.now, random);
+        self.joining.restart(&self.parameters, context.now, random);
         self.join_if_due(context);
         self.publish(context);
     }
 
-    /// Whether the platform's list of machines is wanted now; asked after each call. The list may
-    /// be minutes late, so it only serves to find somebody to join through.
+    /// Whether to request the platform's list of machines now; call after each event. The list may be
+    /// stale, so it only provides addresses to join through.
     pub fn wants_machines(&mut self, context: &mut Context<'_>) -> bool {
         let random = &mut *context.random;
-        let wanted = self.joining.list_due(&self.parameters, context.now, random);
+        let wanted = self
+            .joining
+            .machine_list_due(&self.parameters, context.now, random);
         self.counters.machine_lists_wanted += u64::from(wanted);
         wanted
     }
 
-    /// The platform's list of machines.
+    /// Handles the platform's list of machines.
     pub fn machines_listed(&mut self, context: &mut Context<'_>, machines: &[Machine]) {
-        let staying = machines.iter().filter(|machine| !machine.leaving);
-        let addresses = staying.map(|machine| machine.peer_address);
-        self.joining.hinted(context.now, addresses);
+        let not_leaving = machines.iter().filter(|machine| !machine.leaving);
+        let addresses = not_leaving.map(|machine| machine.peer_address);
+        self.joining.set_discovered(context.now, addresses);
         self.join_if_due(context);
         self.publish(context);
     }
 
-    /// The members as they are known now.
+    /// Current member view.
     pub fn view(&self) -> MemberView {
         let neighbours = self.neighbours.all.iter();
         let neighbours = neighbours
@@ -153,7 +157,7 @@
         self.table.view(&self.own).with_neighbours(neighbours)
     }
 
-    /// Announces a planned stop.
+    /// Announces a planned stop to all neighbours.
     pub fn leave(&mut self, context: &mut Context<'_>) {
         if self.own.state == MemberState::Leaving {
             return;
@@ -168,43 +172,43 @@
         self.publish(context);
     }
 
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     pub fn peer_message(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
         message: MembershipMessage,
     ) {
-        self.notice_pause(context);
+        self.detect_pause(context);
         match message {
             MembershipMessage::Ping { sequence, updates } => {
-                self.take_updates(context, updates);
+                self.apply_updates(context, updates);
                 self.acknowledge(context, from, sequence);
-                self.introduce_if_unknown(context, from);
+                self.request_introduction_if_unknown(context, from);
             }
             MembershipMessage::Acknowledge { sequence, updates } => {
-                self.take_updates(context, updates);
-                self.acknowledged(context, from, sequence);
-                self.introduce_if_unknown(context, from);
+                self.apply_updates(context, updates);
+                self.handle_acknowledgement(context, from, sequence);
+                self.request_introduction_if_unknown(context, from);
             }
             MembershipMessage::PingRequest { sequence, target } => {
                 self.relay_ping(context, from, sequence, target);
             }
             MembershipMessage::IndirectResult { sequence, reached } => {
-                self.indirect_result(context, sequence, reached);
+                self.handle_indirect_result(context, sequence, reached);
             }
-            MembershipMessage::Gossip { updates } => self.take_updates(context, updates),
-            MembershipMessage::Join { member } => self.joined_by(context, from, member),
-            MembershipMessage::MemberList { batch } => self.take_list(context, batch),
-            MembershipMessage::Digest { digest } => self.take_digest(context, from, digest),
+            MembershipMessage::Gossip { updates } => self.apply_updates(context, updates),
+            MembershipMessage::Join { member } => self.handle_join(context, from, member),
+            MembershipMessage::MemberList { batch } => self.handle_member_list(context, batch),
+            MembershipMessage::Digest { digest } => self.handle_digest(context, from, digest),
             MembershipMessage::BucketDigests { digests } => {
-                self.take_bucket_digests(context, from, &digests);
+                self.handle_bucket_digests(context, from, &digests);
             }
             MembershipMessage::Buckets { buckets, keys } => {
-                self.take_buckets(context, from, &buckets, &keys);
+                self.handle_buckets(context, from, &buckets, &keys);
             }
-            MembershipMessage::Wanted { nodes } => self.wanted(context, from, &nodes),
-            MembershipMessage::Newer { batch } => self.take_batch(context, batch.unpack()),
+            MembershipMessage::Wanted { nodes } => self.handle_wanted(context, from, &nodes),
+            MembershipMessage::Newer { batch } => self.apply_records(context, batch.unpack()),
             MembershipMessage::IntroductionRequest => {
                 let member = self.own.clone();
                 let introduction = MembershipMessage::Introduction { member };
@@ -212,36 +216,37 @@
             }
             MembershipMessage::Introduction { member } => {
                 if member.endpoint == from {
-                    self.take_introduction(context, member);
+                    self.handle_introduction(context, member);
                 }
             }
         }
         self.publish(context);
     }
 
-    /// A link to a peer broke.
+    /// Handles a broken link to a peer.
     pub fn link_down(&mut self, context: &mut Context<'_>, address: SocketAddr) {
-        self.notice_pause(context);
+        self.detect_pause(context);
         self.probe_broken_link(context, address);
         self.publish(context);
     }
 
-    /// The process was paused: what it believed of others is stale, and others may believe it dead.
+    /// Handles a pause of the process: pending probes are stale, and peers may have declared this node
+    /// dead.
     pub fn clock_jumped(&mut self, context: &mut Context<'_>) {
-        self.wake_at = Timestamp::MAX;
-        self.resumed(context);
+        self.expected_wake = Timestamp::MAX;
+        self.handle_resume(context);
         self.publish(context);
     }
 
-    /// Counters.
+    /// Counters of failure detection.
     pub fn counters(&self) -> &MembershipCounters {
         &self.counters
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// When [`Self::timer_due`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let gossip =
-            (!self.queue.is_empty() && !self.neighbours.all.is_empty()).then_some(self.next_gossip);
+        let gossip = (!self.gossip_queue.is_empty() && !self.neighbours.all.is_empty())
+            .then_some(self.next_gossip);
         let probe = (!self.neighbours.targets.is_empty()).then_some(self.next_probe);
         let sync = (!self.neighbours.all.is_empty()).then_some(self.sync.next());
         let dead = (self.counters.dead_remembered > 0).then_some(self.next_dead_probe);
@@ -259,9 +264,9 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Probes, gossips, joins and declares dead when it is time.
+    /// Runs what is due: probes, suspicions, gossip, anti-entropy and joining.
     pub fn timer_due(&mut self, context: &mut Context<'_>) {
-        self.notice_pause(context);
+        self.detect_pause(context);
         self.probes_due(context);
         self.suspicions_due(context);
         self.gossip_due(context);
@@ -270,25 +275,25 @@
         self.publish(context);
     }
 
-    /// A timer that comes much too late shows that the process was paused.
-    fn notice_pause(&mut self, context: &mut Context<'_>) {
-        let late = context.now.since(self.wake_at);
-        self.wake_at = Timestamp::MAX;
-        if late > self.parameters.pause_threshold {
-            self.resumed(context);
+    /// Detects a pause of the process from a timer that is much too late.
+    fn detect_pause(&mut self, context: &mut Context<'_>) {
+        let delay = context.now.since(self.expected_wake);
+        self.expected_wake = Timestamp::MAX;
+        if delay > self.parameters.pause_threshold {
+            self.handle_resume(context);
         }
     }
 
     fn join_if_due(&mut self, context: &mut Context<'_>) {
         let table = &self.table;
-        let is_member = |address| table.at(address).is_some();
-        let due = self
-            .joining
-            .due(&self.parameters, context.now, context.random, is_member);
+        let is_member = |address| table.member_at(address).is_some();
+        let due =
+            self.joining
+                .next_address_due(&self.parameters, context.now, context.random, is_member);
         let Some(address) = due else {
             return;
         };
-        if self.joining.is_settled(&self.parameters) {
+        if self.joining.is_at_maximum_interval(&self.parameters) {
             let digest = self.digest();
             send(context, address, MembershipMessage::Digest { digest });
             return;
@@ -298,33 +303,33 @@
         send(context, address, MembershipMessage::Join { member });
     }
 
-    fn joined_by(&mut self, context: &mut Context<'_>, from: PeerEndpoint, member: MemberRecord) {
+    fn handle_join(&mut self, context: &mut Context<'_>, from: PeerEndpoint, member: MemberRecord) {
         if member.endpoint != from {
             return;
         }
-        self.take_introduction(context, member);
+        self.handle_introduction(context, member);
         let mut members = vec![self.own.clone()];
         members.extend(self.table.present().cloned());
-        for part in members.chunks(MEMBER_LIST_PART) {
-            let batch = MemberBatch::pack(part);
+        for records in members.chunks(RECORDS_PER_LIST_MESSAGE) {
+            let batch = MemberBatch::pack(records);
             let list = MembershipMessage::MemberList { batch };
             send(context, from.address, list);
         }
     }
 
     fn gossip_due(&mut self, context: &mut Context<'_>) {
-        if self.queue.is_empty() || context.now < self.next_gossip {
+        if self.gossip_queue.is_empty() || context.now < self.next_gossip {
             return;
         }
         self.next_gossip = context.now + self.parameters.gossip_interval;
         let fanout = self.parameters.gossip_fanout;
-        let chosen: Vec<_> = self
+        let recipients: Vec<_> = self
             .neighbours
             .all
             .choose_multiple(context.random, fanout)
             .copied()
             .collect();
-        for neighbour in chosen {
+        for neighbour in recipients {
             self.gossip_to(context, neighbour);
         }
     }
@@ -347,21 +352,21 @@
         });
     }
 
-    /// Brings neighbours and counters up to date, and tells the other modules of changes.
+    /// Updates counters and the expected wake time, and publishes a changed view if due.
     fn publish(&mut self, context: &mut Context<'_>) {
         self.counters.local_health = u64::from(self.local_health.score());
         if self.view_changed && self.next_publish <= context.now {
             self.publish_view(context);
         }
-        let wake_at = self.next_timeout().unwrap_or(Timestamp::MAX);
-        self.wake_at = wake_at.max(context.now);
+        let expected_wake = self.next_timeout().unwrap_or(Timestamp::MAX);
+        self.expected_wake = expected_wake.max(context.now);
     }
 
     fn publish_view(&mut self, context: &mut Context<'_>) {
         self.view_changed = false;
         self.next_publish = context.now + PUBLISH_INTERVAL;
         if std::mem::take(&mut self.members_changed) {
-            self.find_neighbours(context);
+            self.update_neighbours(context);
             if self.sync.next() == Timestamp::MAX {
                 self.sync.hasten(context.now, context.random);
             }
@@ -370,13 +375,13 @@
         self.counters.members = view.members().len() as u64;
         self.counters.suspects = self.suspicions.len() as u64;
         let dead = |state| state == MemberState::Dead;
-        let remembered = self.table.entries();
+        let entries = self.table.entries();
         self.counters.dead_remembered =
-            remembered.filter(|entry| dead(entry.record.state)).count() as u64;
+            entries.filter(|entry| dead(entry.record.state)).count() as u64;
         context.signal(Signal::MembersChanged(Arc::new(view)));
     }
 
-    fn find_neighbours(&mut self, context: &mut Context<'_>) {
+    fn update_neighbours(&mut self, context: &mut Context<'_>) {
         self.neighbours = overlay::neighbours(
             &self.own,
             self.table.present(),
@@ -385,7 +390,7 @@
         );
         if self.neighbours.all.is_empty() {
             let random = &mut *context.random;
-            self.joining.alone(&self.parameters, context.now, random);
+            self.joining.restart(&self.parameters, context.now, random);
         }
     }
 
--- a/crates/thornbridge-core/src/membership/overlay.rs
+++ b/crates/thornbridge-core/src/membership/overlay.rs
@@ -1,10 +1,12 @@
-//! Which members a node probes and gossips with: its neighbours on a few rings.
+//! Overlay that selects the members a node probes and gossips with.
 //!
-//! Every ring orders the members by a hash of its own, and each member probes its successor.
-//! So each member has the same, fixed number of probers and of links, whatever the size of the
-//! cluster, and the rings together form a random regular graph, on which news spreads in a
-//! logarithmic number of hops. Source of the rings: L. Suresh et al., "Stable and Consistent
-//! Membership at Scale with Rapid", USENIX ATC 2018.
+//! Each ring orders the members by a different hash, and each member probes its successor on every
+//! ring. The number of probers and links per member is therefore independent of the size of the
+//! cluster. The union of the rings is a random regular graph, on which gossip needs a logarithmic
+//! number of hops.
+//!
+//! Reference: L. Suresh et al., "Stable and Consistent Membership at Scale with Rapid", USENIX ATC
+//! 2018.
 
 use thornbridge_proto::NodeId;
 use thornbridge_proto::peer::membership::MemberRecord;
@@ -13,13 +15,13 @@
 /// Neighbours of one node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Neighbours {
-    /// Members that this node probes: its successors. Each once.
+    /// Members that this node probes: its successors on the rings, without duplicates.
     pub targets: Vec<NodeId>,
-    /// Targets and the members that probe this node. Each once.
+    /// Targets and the members that probe this node, without duplicates.
     pub all: Vec<NodeId>,
 }
 
-/// Computes the neighbours of `own` among `members`, which need not contain it.
+/// Computes the neighbours of `own` among `members`, which may omit `own`.
 pub fn neighbours<'a>(
     own: &MemberRecord,
     members: impl Iterator<Item = &'a MemberRecord> + Clone,
@@ -29,25 +31,25 @@
     let mut found = Neighbours::default();
     for ring in 0..regional_rings + global_rings {
         let regional = ring < regional_rings;
-        let on_ring = members
+        let ring_members = members
             .clone()
             .filter(|member| !regional || member.region == own.region)
             .map(|member| member.endpoint.node)
             .filter(|node| *node != own.endpoint.node);
-        let (successor, predecessor) = beside(own.endpoint.node, ring, on_ring);
+        let (successor, predecessor) = adjacent(own.endpoint.node, ring, ring_members);
         if let Some(successor) = successor {
-            add(&mut found.targets, successor);
-            add(&mut found.all, successor);
+            push_unique(&mut found.targets, successor);
+            push_unique(&mut found.all, successor);
         }
         if let Some(predecessor) = predecessor {
-            add(&mut found.all, predecessor);
+            push_unique(&mut found.all, predecessor);
         }
     }
     found
 }
 
-/// The members just after and just before `own` on a ring.
-fn beside(
+/// Successor and predecessor of `own` on a ring.
+fn adjacent(
     own: NodeId,
     ring: u32,
     nodes: impl Iterator<Item = NodeId>,
@@ -76,7 +78,7 @@
     xxh3_64_with_seed(&node.0.to_le_bytes(), u64::from(ring))
 }
 
-fn add(nodes: &mut Vec<NodeId>, node: NodeId) {
+fn push_unique(nodes: &mut Vec<NodeId>, node: NodeId) {
     if !nodes.contains(&node) {
         nodes.push(node);
     }
--- a/crates/thornbridge-core/src/membership/parameters.rs
+++ b/crates/thornbridge-core/src/membership/parameters.rs
@@ -1,75 +1,77 @@
-//! Tunable values and counters of failure detection.
+//! Parameters and counters of failure detection.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values of failure detection.
+/// Parameters of failure detection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MembershipParameters {
-    /// Rings over the own region; each gives a member one prober and one target. Four, so that
-    /// three independent suspicions are had even when one prober is gone too.
+    /// Rings over the node's own region; each gives a member one prober and one target. Enough that a
+    /// suspicion gets [`Self::suspicion_confirmations`] even if one prober has failed too.
     pub regional_rings: u32,
-    /// Rings over all members, which also carry news between regions.
+    /// Rings over all members, which also spread updates between regions.
     pub global_rings: u32,
-    /// Time in which each target is probed once. A second keeps detection within three.
+    /// Period in which each target is probed once.
     pub probe_period: Duration,
-    /// Time a direct probe may take, and again an indirect one. Far above the longest
-    /// round trip between regions, far below the probe period.
+    /// Timeout of a ping. Must be well above the longest round trip between regions, and well below
+    /// the probe period.
     pub probe_timeout: Duration,
-    /// Members asked to probe a target that did not answer (`k` of SWIM).
+    /// Members that probe an unresponsive target indirectly (`k` of SWIM).
     pub indirect_probers: usize,
-    /// Highest value of the local health counter (`S` of Lifeguard).
+    /// Maximum of the local health score (`S` of Lifeguard).
     pub local_health_limit: u32,
-    /// Least time a suspicion lasts, for a cluster of ten or fewer.
+    /// Lower bound of the suspicion timeout, whatever the size of the cluster.
     pub suspicion_minimum: Duration,
-    /// Share of `probe_period * log10(members)` that a suspicion lasts at least.
+    /// Minimum suspicion timeout, as a multiple of `probe_period * log10(members)` (`alpha` of
+    /// Lifeguard).
     pub suspicion_factor: f64,
-    /// Longest time of a suspicion that nobody confirms, over the least (`beta` of Lifeguard).
+    /// Timeout of an unconfirmed suspicion, as a multiple of the minimum (`beta` of Lifeguard).
     pub suspicion_maximum_factor: f64,
-    /// Further members that must suspect before the least time applies (`K` of Lifeguard).
+    /// Confirmations by other members after which the minimum applies (`K` of Lifeguard).
     pub suspicion_confirmations: usize,
     /// Each node sends an update `ceil(ln(members)) + transmission_margin` times.
     pub transmission_margin: u32,
-    /// Time between rounds of gossip, while there is news.
+    /// Interval between gossip rounds while updates are queued.
     pub gossip_interval: Duration,
-    /// Neighbours that a round of gossip goes to.
+    /// Neighbours per gossip round.
     pub gossip_fanout: usize,
-    /// Largest sum of updates on one message, in bytes.
+    /// Maximum size of the updates on one message, in bytes.
     pub updates_limit_bytes: usize,
-    /// Bytes of updates a second that a node sends over longer times.
+    /// Sustained rate of gossiped updates, in bytes per second.
     pub gossip_bytes_per_second: u32,
-    /// Bytes of updates that a node may send at once after a quiet time.
+    /// Burst of gossiped updates, in bytes.
     pub gossip_burst_bytes: u32,
-    /// Time between attempts to join, doubled each time up to [`Self::join_interval_maximum`].
+    /// Initial interval between attempts to join; doubles up to [`Self::join_interval_maximum`].
     pub join_interval: Duration,
-    /// Longest time between attempts to join, and between checks that the seeds are members.
+    /// Maximum interval between attempts to join or to contact seeds that are not members.
     pub join_interval_maximum: Duration,
-    /// Time alone, without an answer of any seed, until the platform's list of machines is read.
+    /// Delay until a node that has not joined requests the platform's list of machines.
     pub machine_list_delay: Duration,
-    /// Time until it is read again, doubled each time up to the maximum.
+    /// Initial interval between these requests; doubles up to
+    /// [`Self::machine_list_interval_maximum`].
     pub machine_list_interval: Duration,
-    /// Longest such time.
+    /// Maximum interval between requests for the list of machines.
     pub machine_list_interval_maximum: Duration,
-    /// Times that each node sends a new member's record. Fewer than other updates, which are a
-    /// fifth of its size: what it misses, the exchange of digests brings within seconds.
+    /// Times that each node sends a new member's record. Lower than for other updates, since records
+    /// are larger; anti-entropy repairs what is missed.
     pub record_transmissions: u32,
-    /// Bytes of members a second that a node sends in exchanges over longer times.
+    /// Sustained rate of members sent in exchanges, in bytes per second.
     pub sync_bytes_per_second: u32,
-    /// Bytes of members that a node may send in exchanges at once after a quiet time.
+    /// Burst of members sent in exchanges, in bytes.
     pub sync_burst_bytes: u32,
-    /// Time between exchanges of digests with a neighbour.
+    /// Interval between anti-entropy exchanges.
     pub sync_interval: Duration,
-    /// The same after an exchange that found a difference.
+    /// Interval after an exchange that found a difference.
     pub sync_interval_differing: Duration,
-    /// Buckets of members that one exchange sends at most.
+    /// Maximum buckets of members sent per exchange.
     pub sync_buckets: usize,
-    /// Time between probes of dead members, to find those that a network split had hidden.
-    /// Bounds the rate at which a healed region comes back.
+    /// Interval between probes of dead members, to rediscover members after a network split.
     pub dead_probe_interval: Duration,
-    /// Time after which a dead member is forgotten. Longer than a region split lasts.
+    /// Time after which a dead member is removed. Must exceed the longest network split to recover
+    /// from.
     pub dead_retention: Duration,
-    /// A timer this late means that the process was paused, and what it saw before is stale.
+    /// Delay of a timer above which the process is considered to have been paused.
     pub pause_threshold: Duration,
 }
 
@@ -113,34 +115,34 @@
 /// Counters of failure detection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipCounters {
-    /// Members known that are not dead, this node included.
+    /// Members that are not dead, including this node.
     pub members: u64,
-    /// Members suspected now.
+    /// Members currently suspected.
     pub suspects: u64,
-    /// Dead members still remembered.
+    /// Dead members not yet removed.
     pub dead_remembered: u64,
     /// Direct probes sent.
     pub probes: u64,
-    /// Probes that needed other members' help.
+    /// Probes continued indirectly.
     pub indirect_probes: u64,
-    /// Probes that failed, also through others.
+    /// Probes that failed directly and indirectly.
     pub probes_failed: u64,
     /// Suspicions raised by this node.
     pub suspicions_raised: u64,
     /// Members declared dead by this node.
     pub declared_dead: u64,
-    /// Exchanges of digests that found a difference.
+    /// Anti-entropy exchanges that found a difference.
     pub syncs_differing: u64,
-    /// Times that this node refuted news of its own failure.
+    /// Times that this node refuted its own suspicion or death.
     pub refutations: u64,
-    /// Members that came back from the dead.
+    /// Dead members that became alive or leaving again.
     pub revived: u64,
-    /// Attempts to join.
+    /// Join messages sent.
     pub joins_sent: u64,
-    /// Readings of the platform's list of machines asked for.
+    /// Requests for the platform's list of machines.
     pub machine_lists_wanted: u64,
-    /// Pauses of this process that were noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Present value of the local health counter; 0 is healthy.
+    /// Current local health score; 0 is healthy.
     pub local_health: u64,
 }
--- a/crates/thornbridge-core/src/membership/probe.rs
+++ b/crates/thornbridge-core/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes under way: direct, then through others. Bookkeeping only; [`super::probing`] decides.
+//! Tracking of probes in flight and queued. [`super::probing`] holds the probing logic.
 
 use crate::time::Timestamp;
 use std::collections::VecDeque;
@@ -9,86 +9,87 @@
 /// Why a member is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeReason {
-    /// Its turn.
+    /// Regular probe of the current round.
     Regular,
-    /// Another member says that it is dead at this incarnation, and this node has not seen it so.
-    DeadClaimed(Incarnation),
-    /// It is dead here; a network split may have ended.
-    DeadRetry,
+    /// Verifies a report that the member is dead at this incarnation.
+    VerifyDead(Incarnation),
+    /// Checks whether a dead member is reachable again, as after a network split.
+    RetryDead,
 }
 
-/// How far a probe is.
+/// Phase of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbePhase {
-    /// Waiting for the target's own acknowledgement.
+    /// Pinged directly.
     Direct,
-    /// Others were asked too.
+    /// Pinged through other members too.
     Indirect {
-        /// Members asked.
-        asked: u32,
-        /// Members that said that they did not reach the target either.
-        unreached: u32,
+        /// Ping requests sent.
+        requests_sent: u32,
+        /// Members that reported that the target did not answer them.
+        nacks: u32,
     },
 }
 
-/// One probe under way.
+/// A probe in flight.
 #[derive(Clone, Debug)]
 pub struct PendingProbe {
-    /// Sequence number on the wire.
+    /// Sequence number of the ping.
     pub sequence: u64,
-    /// Whom.
+    /// Probed member.
     pub target: PeerEndpoint,
-    /// Why.
+    /// Reason of the probe.
     pub reason: ProbeReason,
-    /// How far.
+    /// Current phase.
     pub phase: ProbePhase,
-    /// When the phase ends.
+    /// End of the current phase.
     pub deadline: Timestamp,
 }
 
 /// A ping on behalf of another member.
 #[derive(Clone, Debug)]
 pub struct RelayedProbe {
-    /// Sequence number of the ping sent for it.
+    /// Sequence number of the relayed ping.
     pub sequence: u64,
-    /// Whom it is sent to.
+    /// Target of the ping.
     pub target: PeerEndpoint,
-    /// Who asked.
-    pub asked_by: SocketAddr,
-    /// Sequence number of the request.
-    pub asked_sequence: u64,
-    /// When the answer is a failure.
+    /// Member that requested the ping.
+    pub requester: SocketAddr,
+    /// Sequence number of the ping request.
+    pub request_sequence: u64,
+    /// When the target counts as not reached.
     pub deadline: Timestamp,
 }
 
 /// All probes of one node.
 #[derive(Debug, Default)]
-pub struct ProbeBook {
+pub struct ProbeTracker {
     last_sequence: u64,
+    /// Remaining targets of the round, last first.
     round: Vec<NodeId>,
     urgent: VecDeque<(NodeId, ProbeReason)>,
     pending: Vec<PendingProbe>,
     relayed: Vec<RelayedProbe>,
 }
 
-impl ProbeBook {
-    /// A fresh sequence number.
+impl ProbeTracker {
+    /// Allocates a sequence number.
     pub fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
     }
 
-    /// The next target of this round; `None` when the round is over.
+    /// Takes the next target of the round; `None` at its end.
     pub fn next_of_round(&mut self) -> Option<NodeId> {
         self.round.pop()
     }
 
-    /// Starts a round over these targets, in this order from the back.
+    /// Starts a round over these targets, from the last to the first.
     pub fn start_round(&mut self, targets: Vec<NodeId>) {
         self.round = targets;
     }
 
-    /// Asks for a probe ahead of the round.
+    /// Queues a probe ahead of the round, unless the member has one queued or in flight.
     pub fn add_urgent(&mut self, node: NodeId, reason: ProbeReason) {
         let queued = self.urgent.iter().any(|(queued, _)| *queued == node);
         if !queued && !self.is_probing(node) {
@@ -96,27 +97,27 @@
         }
     }
 
-    /// The next urgent probe.
+    /// Takes the next urgent probe.
     pub fn next_urgent(&mut self) -> Option<(NodeId, ProbeReason)> {
         self.urgent.pop_front()
     }
 
-    /// Whether a probe of this member is under way.
+    /// Whether a probe of this member is in flight.
     pub fn is_probing(&self, node: NodeId) -> bool {
         self.pending.iter().any(|probe| probe.target.node == node)
     }
 
-    /// Remembers a probe that was sent.
+    /// Adds a probe in flight.
     pub fn add(&mut self, probe: PendingProbe) {
         self.pending.push(probe);
     }
 
-    /// Remembers a ping sent on behalf of another.
+    /// Adds a ping sent on behalf of another member.
     pub fn add_relayed(&mut self, probe: RelayedProbe) {
         self.relayed.push(probe);
     }
 
-    /// Takes out the probe of a sequence number, if `matches`.
+    /// Removes the probe with this sequence number, if it satisfies `matches`.
     pub fn take(
         &mut self,
         sequence: u64,
@@ -129,14 +130,14 @@
         Some(self.pending.swap_remove(index))
     }
 
-    /// The probe of a sequence number.
+    /// The probe with this sequence number.
     pub fn get_mut(&mut self, sequence: u64) -> Option<&mut PendingProbe> {
         self.pending
             .iter_mut()
             .find(|probe| probe.sequence == sequence)
     }
 
-    /// Takes out the ping on behalf of another that this target acknowledged.
+    /// Removes the relayed ping that this target acknowledged.
     pub fn take_relayed(&mut self, sequence: u64, target: NodeId) -> Option<RelayedProbe> {
         let index = self
             .relayed
@@ -145,31 +146,31 @@
         Some(self.relayed.swap_remove(index))
     }
 
-    /// Takes out the probes whose phase ended.
-    pub fn expired(&mut self, now: Timestamp) -> Vec<PendingProbe> {
-        extract(&mut self.pending, |probe| probe.deadline <= now)
+    /// Removes the probes whose phase ended.
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<PendingProbe> {
+        extract_if(&mut self.pending, |probe| probe.deadline <= now)
     }
 
-    /// Takes out the direct probes of an address.
-    pub fn direct_to(&mut self, address: SocketAddr) -> Vec<PendingProbe> {
-        extract(&mut self.pending, |probe| {
+    /// Removes the probes of an address that are in the direct phase.
+    pub fn take_direct_to(&mut self, address: SocketAddr) -> Vec<PendingProbe> {
+        extract_if(&mut self.pending, |probe| {
             probe.target.address == address && probe.phase == ProbePhase::Direct
         })
     }
 
-    /// Takes out the pings on behalf of others that were not answered in time.
-    pub fn expired_relayed(&mut self, now: Timestamp) -> Vec<RelayedProbe> {
-        extract(&mut self.relayed, |probe| probe.deadline <= now)
+    /// Removes the relayed pings that were not acknowledged in time.
+    pub fn take_expired_relayed(&mut self, now: Timestamp) -> Vec<RelayedProbe> {
+        extract_if(&mut self.relayed, |probe| probe.deadline <= now)
     }
 
-    /// Drops everything under way.
+    /// Discards all probes, except the rest of the round.
     pub fn clear(&mut self) {
         self.urgent.clear();
         self.pending.clear();
         self.relayed.clear();
     }
 
-    /// When the next phase ends.
+    /// Earliest end of a phase.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let pending = self.pending.iter().map(|probe| probe.deadline);
         let relayed = self.relayed.iter().map(|probe| probe.deadline);
@@ -177,8 +178,8 @@
     }
 }
 
-fn extract<T>(list: &mut Vec<T>, wanted: impl Fn(&T) -> bool) -> Vec<T> {
-    let (taken, kept) = std::mem::take(list).into_iter().partition(wanted);
-    *list = kept;
-    taken
+fn extract_if<T>(list: &mut Vec<T>, matches: impl Fn(&T) -> bool) -> Vec<T> {
+    let (extracted, remaining) = std::mem::take(list).into_iter().partition(matches);
+    *list = remaining;
+    extracted
 }
--- a/crates/thornbridge-core/src/membership/probing.rs
+++ b/crates/thornbridge-core/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probing: whose turn it is, and what an answer or silence means.
+//! Probing: selection of targets, and evaluation of acknowledgements and timeouts.
 
 use super::probe::{PendingProbe, ProbePhase, ProbeReason, RelayedProbe};
 use super::{Membership, send};
@@ -11,20 +11,19 @@
     MemberRecord, MemberState, MemberUpdate, MembershipMessage,
 };
 
-/// Probes that may be under way at once beside those of the round, so that a burst of news about
-/// many members does not become a burst of probes.
-const URGENT_PROBES: usize = 4;
+/// Urgent probes sent per step, so that a burst of updates does not cause a burst of probes.
+const MAXIMUM_URGENT_PROBES: usize = 4;
 
 impl Membership {
-    /// Ends probes whose time is over and sends those whose turn it is.
+    /// Handles expired probes and sends due ones.
     pub(super) fn probes_due(&mut self, context: &mut Context<'_>) {
-        for relayed in self.probes.expired_relayed(context.now) {
-            let sequence = relayed.asked_sequence;
+        for relayed in self.probes.take_expired_relayed(context.now) {
+            let sequence = relayed.request_sequence;
             let reached = false;
             let result = MembershipMessage::IndirectResult { sequence, reached };
-            send(context, relayed.asked_by, result);
+            send(context, relayed.requester, result);
         }
-        for probe in self.probes.expired(context.now) {
+        for probe in self.probes.take_expired(context.now) {
             match probe.phase {
                 ProbePhase::Direct => self.probe_indirectly(context, probe),
                 ProbePhase::Indirect { .. } => self.probe_failed(context, probe),
@@ -40,7 +39,7 @@
         }
         let targets = self.neighbours.targets.len() as u32;
         let interval = self.parameters.probe_period / targets;
-        self.next_probe = context.now + self.local_health.stretch(interval);
+        self.next_probe = context.now + self.local_health.scale(interval);
         if let Some(target) = self.next_of_round(context) {
             self.probe(context, target, ProbeReason::Regular);
         }
@@ -48,7 +47,7 @@
     }
 
     fn probe_urgent(&mut self, context: &mut Context<'_>) {
-        for _ in 0..URGENT_PROBES {
+        for _ in 0..MAXIMUM_URGENT_PROBES {
             let Some((node, reason)) = self.probes.next_urgent() else {
                 return;
             };
@@ -70,18 +69,18 @@
         let Some(entry) = self.table.get(node) else {
             return;
         };
-        let wanted = match reason {
-            ProbeReason::DeadRetry => entry.record.state == MemberState::Dead,
-            ProbeReason::Regular | ProbeReason::DeadClaimed(_) => {
+        let eligible = match reason {
+            ProbeReason::RetryDead => entry.record.state == MemberState::Dead,
+            ProbeReason::Regular | ProbeReason::VerifyDead(_) => {
                 entry.record.state != MemberState::Dead
             }
         };
-        if !wanted || self.probes.is_probing(node) {
+        if !eligible || self.probes.is_probing(node) {
             return;
         }
         let target = entry.record.endpoint;
         let sequence = self.probes.next_sequence();
-        let timeout = self.local_health.stretch(self.parameters.probe_timeout);
+        let timeout = self.local_health.scale(self.parameters.probe_timeout);
         self.probes.add(PendingProbe {
             sequence,
             target,
@@ -91,7 +90,7 @@
         });
         self.counters.probes += 1;
         let mut updates = self.updates_for(context.now, node);
-        if let ProbeReason::DeadClaimed(incarnation) = reason {
+        if let ProbeReason::VerifyDead(incarnation) = reason {
             let state = MemberState::Dead;
             updates.push(MemberUpdate::State {
                 node,
@@ -104,61 +103,71 @@
     }
 
     fn probe_indirectly(&mut self, context: &mut Context<'_>, mut probe: PendingProbe) {
-        if probe.reason == ProbeReason::DeadRetry {
+        if probe.reason == ProbeReason::RetryDead {
             return;
         }
         let target = probe.target;
-        let asked = self.helpers(context, target.node);
-        if asked.is_empty() {
+        let probers = self.select_indirect_probers(context, target.node);
+        if probers.is_empty() {
             self.probe_failed(context, probe);
             return;
         }
         self.counters.indirect_probes += 1;
         let sequence = probe.sequence;
-        for helper in &asked {
+        for prober in &probers {
             let request = MembershipMessage::PingRequest { sequence, target };
-            send(context, *helper, request);
+            send(context, *prober, request);
         }
-        // Twice the time: the helper waits for one timeout before it reports a failure.
-        let timeout = self.local_health.stretch(self.parameters.probe_timeout) * 2;
+        // Twice the timeout, since the other member waits for one timeout before it reports a failure.
+        let timeout = self.local_health.scale(self.parameters.probe_timeout) * 2;
         probe.deadline = context.now + timeout;
         probe.phase = ProbePhase::Indirect {
-            asked: asked.len() as u32,
-            unreached: 0,
+            requests_sent: probers.len() as u32,
+            nacks: 0,
         };
         self.probes.add(probe);
     }
 
-    /// Members to ask about a target: neighbours, to whom links stand, else any. Those that leave
-    /// help too, since they still answer.
-    fn helpers(&self, context: &mut Context<'_>, target: NodeId) -> Vec<SocketAddr> {
-        let wanted = self.parameters.indirect_probers;
-        let helps = |record: &&MemberRecord| {
+    /// Chooses members to probe a target indirectly: neighbours, whose links are open, if there are
+    /// enough, else any members. Includes leaving members, since these still answer.
+    fn select_indirect_probers(
+        &self,
+        context: &mut Context<'_>,
+        target: NodeId,
+    ) -> Vec<SocketAddr> {
+        let count = self.parameters.indirect_probers;
+        let may_probe = |record: &&MemberRecord| {
             record.endpoint.node != target && record.state != MemberState::Suspect
         };
-        let of = |record: &MemberRecord| record.endpoint.address;
-        let present = self.table.present().filter(helps);
+        let address_of_record = |record: &MemberRecord| record.endpoint.address;
+        let present = self.table.present().filter(may_probe);
         let near = present
             .clone()
             .filter(|record| self.neighbours.all.contains(&record.endpoint.node));
-        let near: Vec<SocketAddr> = near.map(of).collect();
-        if near.len() >= wanted {
-            return near
-                .choose_multiple(context.random, wanted)
+        let neighbours: Vec<SocketAddr> = near.map(address_of_record).collect();
+        if neighbours.len() >= count {
+            return neighbours
+                .choose_multiple(context.random, count)
                 .copied()
                 .collect();
         }
-        let all: Vec<SocketAddr> = present.map(of).collect();
-        all.choose_multiple(context.random, wanted)
+        let members: Vec<SocketAddr> = present.map(address_of_record).collect();
+        members
+            .choose_multiple(context.random, count)
             .copied()
             .collect()
     }
 
     fn probe_failed(&mut self, context: &mut Context<'_>, probe: PendingProbe) {
         self.counters.probes_failed += 1;
-        if let ProbePhase::Indirect { asked, unreached } = probe.phase {
-            // Helpers that did not even report a failure: perhaps this node is the slow one.
-            self.local_health.worsen(asked.saturating_sub(unreached));
+        if let ProbePhase::Indirect {
+            requests_sent,
+            nacks,
+        } = probe.phase
+        {
+            // Missing nacks suggest that this node itself is slow or disconnected.
+            self.local_health
+                .worsen(requests_sent.saturating_sub(nacks));
         }
         let node = probe.target.node;
         let Some(entry) = self.table.get(node) else {
@@ -167,7 +176,7 @@
         let incarnation = entry.record.incarnation;
         match (entry.record.state, probe.reason) {
             (MemberState::Dead, _) => {}
-            (MemberState::Leaving, _) | (_, ProbeReason::DeadClaimed(_)) => {
+            (MemberState::Leaving, _) | (_, ProbeReason::VerifyDead(_)) => {
                 self.declare_dead(context, node, incarnation);
             }
             (MemberState::Alive | MemberState::Suspect, _) => {
@@ -178,7 +187,7 @@
         }
     }
 
-    /// Answers a ping.
+    /// Acknowledges a ping.
     pub(super) fn acknowledge(
         &mut self,
         context: &mut Context<'_>,
@@ -190,18 +199,18 @@
         send(context, from.address, acknowledgement);
     }
 
-    /// A ping of this node was answered.
-    pub(super) fn acknowledged(
+    /// Handles an acknowledgement of a ping.
+    pub(super) fn handle_acknowledgement(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
         sequence: u64,
     ) {
         if let Some(relayed) = self.probes.take_relayed(sequence, from.node) {
-            let sequence = relayed.asked_sequence;
+            let sequence = relayed.request_sequence;
             let reached = true;
             let result = MembershipMessage::IndirectResult { sequence, reached };
-            send(context, relayed.asked_by, result);
+            send(context, relayed.requester, result);
         } else if self
             .probes
             .take(sequence, |probe| probe.target.node == from.node)
@@ -216,15 +225,15 @@
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
-        asked_sequence: u64,
+        request_sequence: u64,
         target: PeerEndpoint,
     ) {
         let sequence = self.probes.next_sequence();
         self.probes.add_relayed(RelayedProbe {
             sequence,
             target,
-            asked_by: from.address,
-            asked_sequence,
+            requester: from.address,
+            request_sequence,
             deadline: context.now + self.parameters.probe_timeout,
         });
         let updates = self.updates_for(context.now, target.node);
@@ -232,8 +241,8 @@
         send(context, target.address, ping);
     }
 
-    /// A helper tells what came of a ping request.
-    pub(super) fn indirect_result(
+    /// Handles the result of a ping request.
+    pub(super) fn handle_indirect_result(
         &mut self,
         context: &mut Context<'_>,
         sequence: u64,
@@ -249,23 +258,31 @@
         let Some(probe) = self.probes.get_mut(sequence) else {
             return;
         };
-        let ProbePhase::Indirect { asked, unreached } = &mut probe.phase else {
+        let ProbePhase::Indirect {
+            requests_sent,
+            nacks,
+        } = &mut probe.phase
+        else {
             return;
         };
-        *unreached += 1;
-        if unreached >= asked
+        *nacks += 1;
+        if nacks >= requests_sent
             && let Some(probe) = self.probes.take(sequence, indirect)
         {
             self.probe_failed(context, probe);
         }
     }
 
-    /// A broken link is a reason to look, and no proof.
+    /// Probes the peer of a broken link; a broken link alone does not prove a failure.
     pub(super) fn probe_broken_link(&mut self, context: &mut Context<'_>, address: SocketAddr) {
-        for probe in self.probes.direct_to(address) {
+        for probe in self.probes.take_direct_to(address) {
             self.probe_indirectly(context, probe);
         }
-        let Some(node) = self.table.at(address).map(|record| record.endpoint.node) else {
+        let Some(node) = self
+            .table
+            .member_at(address)
+            .map(|record| record.endpoint.node)
+        else {
             return;
         };
         if self.neighbours.all.contains(&node) {
@@ -274,27 +291,27 @@
         }
     }
 
-    /// Probes one dead member now and then: a network split may have ended.
+    /// Probes a random dead member, if due, to detect the end of a network split.
     fn probe_dead(&mut self, context: &mut Context<'_>) {
         if context.now < self.next_dead_probe {
             return;
         }
         self.next_dead_probe = context.now + self.parameters.dead_probe_interval;
         let retention = self.parameters.dead_retention;
-        self.table.forget_dead(context.now, retention);
+        self.table.remove_expired_dead(context.now, retention);
         let dead: Vec<NodeId> = self
             .table
             .entries()
-            .filter(|entry| entry.record.state == MemberState::Dead && !entry.left)
+            .filter(|entry| entry.record.state == MemberState::Dead && !entry.announced_leaving)
             .map(|entry| entry.record.endpoint.node)
             .collect();
         if let Some(node) = dead.choose(context.random) {
-            self.probe(context, *node, ProbeReason::DeadRetry);
+            self.probe(context, *node, ProbeReason::RetryDead);
         }
     }
 
-    /// Forgets what was under way before a pause, and looks again.
-    pub(super) fn resumed(&mut self, context: &mut Context<'_>) {
+    /// Discards probes from before a pause, and probes all targets again.
+    pub(super) fn handle_resume(&mut self, context: &mut Context<'_>) {
         self.counters.pauses += 1;
         self.probes.clear();
         self.suspicions.restart(context.now);
--- a/crates/thornbridge-core/src/membership/suspicion.rs
+++ b/crates/thornbridge-core/src/membership/suspicion.rs
@@ -1,8 +1,8 @@
-//! How long a suspected member has to refute.
+//! Suspicion timeouts: how long a suspected member has to refute.
 //!
-//! The time starts long and shrinks with each further member that suspects on its own. Source:
-//! "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017
-//! (arXiv:1707.00788), section IV.
+//! The timeout starts at its maximum and decreases with each member that independently confirms the
+//! suspicion. Reference: "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
+//! 2017 (arXiv:1707.00788), section IV.
 
 use super::MembershipParameters;
 use crate::time::Timestamp;
@@ -10,38 +10,39 @@
 use std::time::Duration;
 use thornbridge_proto::{Incarnation, NodeId};
 
-/// One suspected member.
+/// Suspicion of one member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
     incarnation: Incarnation,
     started: Timestamp,
+    /// Members that suspect, the first being the one that raised the suspicion.
     suspected_by: Vec<NodeId>,
     minimum: Duration,
     maximum: Duration,
-    confirmations_wanted: usize,
+    required_confirmations: usize,
 }
 
 impl Suspicion {
-    /// When the member is declared dead, if it does not refute and nobody else suspects it.
+    /// When the member is declared dead, unless it refutes or the timeout is shortened.
     pub fn deadline(&self) -> Timestamp {
         self.started + self.timeout()
     }
 
     fn timeout(&self) -> Duration {
-        if self.confirmations_wanted == 0 {
+        if self.required_confirmations == 0 {
             return self.minimum;
         }
         let confirmations = self.suspected_by.len().saturating_sub(1) as f64;
-        let wanted = self.confirmations_wanted as f64;
-        let share = (confirmations + 1.0).ln() / (wanted + 1.0).ln();
-        let shrunk = self.maximum.as_secs_f64()
+        let required = self.required_confirmations as f64;
+        let share = (confirmations + 1.0).ln() / (required + 1.0).ln();
+        let timeout_secs = self.maximum.as_secs_f64()
             - (self.maximum - self.minimum).as_secs_f64() * share.min(1.0);
-        Duration::from_secs_f64(shrunk).max(self.minimum)
+        Duration::from_secs_f64(timeout_secs).max(self.minimum)
     }
 
     fn confirm(&mut self, suspected_by: NodeId) -> bool {
-        let full = self.suspected_by.len() > self.confirmations_wanted;
-        if full || self.suspected_by.contains(&suspected_by) {
+        let confirmed = self.suspected_by.len() > self.required_confirmations;
+        if confirmed || self.suspected_by.contains(&suspected_by) {
             return false;
         }
         self.suspected_by.push(suspected_by);
@@ -49,14 +50,14 @@
     }
 }
 
-/// All members that this node holds suspect.
+/// Suspicions held by this node.
 #[derive(Debug, Default)]
 pub struct Suspicions {
     by_node: BTreeMap<NodeId, Suspicion>,
 }
 
 impl Suspicions {
-    /// Starts a suspicion, or confirms one that stands. Gives whether it was news.
+    /// Raises a suspicion, or confirms the current one. Returns whether either took effect.
     pub fn suspect(
         &mut self,
         parameters: &MembershipParameters,
@@ -65,10 +66,10 @@
         (node, incarnation): (NodeId, Incarnation),
         suspected_by: NodeId,
     ) -> bool {
-        if let Some(standing) = self.by_node.get_mut(&node)
-            && standing.incarnation == incarnation
+        if let Some(current) = self.by_node.get_mut(&node)
+            && current.incarnation == incarnation
         {
-            return standing.confirm(suspected_by);
+            return current.confirm(suspected_by);
         }
         let minimum = minimum_timeout(parameters, members);
         let others = members.saturating_sub(2);
@@ -78,19 +79,19 @@
             suspected_by: vec![suspected_by],
             minimum,
             maximum: minimum.mul_f64(parameters.suspicion_maximum_factor.max(1.0)),
-            confirmations_wanted: parameters.suspicion_confirmations.min(others),
+            required_confirmations: parameters.suspicion_confirmations.min(others),
         };
         self.by_node.insert(node, suspicion);
         true
     }
 
-    /// Ends a suspicion.
+    /// Removes a suspicion.
     pub fn clear(&mut self, node: NodeId) {
         self.by_node.remove(&node);
     }
 
-    /// Members whose time is over; they are no longer held here.
-    pub fn expired(&mut self, now: Timestamp) -> Vec<NodeId> {
+    /// Removes expired suspicions and returns their members.
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<NodeId> {
         let expired: Vec<NodeId> = self
             .by_node
             .iter()
@@ -103,8 +104,8 @@
         expired
     }
 
-    /// Gives every suspect its whole time again: this process was paused and may have missed
-    /// their refutations.
+    /// Restarts all suspicions without confirmations, since a paused process may have missed
+    /// refutations.
     pub fn restart(&mut self, now: Timestamp) {
         for suspicion in self.by_node.values_mut() {
             suspicion.started = now;
@@ -112,22 +113,22 @@
         }
     }
 
-    /// When the next suspicion ends.
+    /// Earliest deadline of a suspicion.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.by_node.values().map(Suspicion::deadline).min()
     }
 
-    /// Members suspected.
+    /// Number of suspected members.
     pub fn len(&self) -> usize {
         self.by_node.len()
     }
 }
 
-/// The least time of a suspicion in a cluster of this size.
+/// Minimum suspicion timeout in a cluster of this size.
 fn minimum_timeout(parameters: &MembershipParameters, members: usize) -> Duration {
-    let scale = (members.max(1) as f64).log10() * parameters.suspicion_factor;
+    let periods = (members.max(1) as f64).log10() * parameters.suspicion_factor;
     parameters
         .probe_period
-        .mul_f64(scale)
+        .mul_f64(periods)
         .max(parameters.suspicion_minimum)
 }
--- a/crates/thornbridge-core/src/membership/table.rs
+++ b/crates/thornbridge-core/src/membership/table.rs
@@ -1,8 +1,8 @@
-//! The member table: what is known of each member, and which news is newer.
+//! Member table, and precedence between updates.
 //!
-//! Two pieces of news on a member are ordered by incarnation, then by state in the order alive,
-//! suspect, leaving, dead. Taking the greater of two is commutative, associative and idempotent,
-//! so all nodes come to the same state in whatever order the news arrives.
+//! Updates of a member are ordered by incarnation, then by state in the order alive, suspect,
+//! leaving, dead. Merging takes the maximum, which is commutative, associative and idempotent, so
+//! all nodes converge in whatever order updates arrive.
 
 use super::view::MemberView;
 use crate::time::Timestamp;
@@ -12,54 +12,54 @@
 use thornbridge_proto::peer::membership::{MemberRecord, MemberState};
 use thornbridge_proto::{Incarnation, NodeId};
 
-/// A member, and what this node remembers of it beside its record.
+/// A member's record and local state.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The record.
+    /// Replicated record.
     pub record: MemberRecord,
-    /// When its state changed here.
-    pub since: Timestamp,
-    /// It announced its leaving before it was declared dead.
-    pub left: bool,
+    /// Time of the last state change on this node.
+    pub state_changed_at: Timestamp,
+    /// Whether the member announced a planned stop.
+    pub announced_leaving: bool,
 }
 
-/// All members that this node knows, without itself.
+/// All known members except this node.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     entries: BTreeMap<NodeId, Entry>,
 }
 
-/// Order of news on one member: greater is newer.
-pub fn order(incarnation: Incarnation, state: MemberState) -> (Incarnation, MemberState) {
+/// Precedence of an update; the greater one wins.
+pub fn precedence(incarnation: Incarnation, state: MemberState) -> (Incarnation, MemberState) {
     (incarnation, state)
 }
 
 impl MemberTable {
-    /// What is known of a member.
+    /// Entry of a member.
     pub fn get(&self, node: NodeId) -> Option<&Entry> {
         self.entries.get(&node)
     }
 
-    /// Adds a member that is not known yet. The names of its zone and region are shared with
-    /// members that have the same.
+    /// Adds an unknown member. Zone and region names are shared with a member at the same location,
+    /// to save memory.
     pub fn insert(&mut self, now: Timestamp, mut record: MemberRecord) {
-        if let Some(like) = self
+        if let Some(same_location) = self
             .entries
             .values()
             .find(|entry| entry.record.zone == record.zone && entry.record.region == record.region)
         {
-            record.zone = like.record.zone.clone();
-            record.region = like.record.region.clone();
+            record.zone = same_location.record.zone.clone();
+            record.region = same_location.record.region.clone();
         }
         let entry = Entry {
-            left: record.state == MemberState::Leaving,
+            announced_leaving: record.state == MemberState::Leaving,
             record,
-            since: now,
+            state_changed_at: now,
         };
         self.entries.insert(entry.record.endpoint.node, entry);
     }
 
-    /// Sets the state of a known member, if that is newer. Gives the state it had.
+    /// Applies a newer state to a known member. Returns the previous state; `None` if not applied.
     pub fn advance(
         &mut self,
         now: Timestamp,
@@ -68,19 +68,19 @@
         state: MemberState,
     ) -> Option<MemberState> {
         let entry = self.entries.get_mut(&node)?;
-        let held = order(entry.record.incarnation, entry.record.state);
-        if order(incarnation, state) <= held {
+        let current = precedence(entry.record.incarnation, entry.record.state);
+        if precedence(incarnation, state) <= current {
             return None;
         }
-        let before = entry.record.state;
+        let previous = entry.record.state;
         entry.record.incarnation = incarnation;
         entry.record.state = state;
-        entry.since = now;
-        entry.left |= state == MemberState::Leaving;
-        Some(before)
+        entry.state_changed_at = now;
+        entry.announced_leaving |= state == MemberState::Leaving;
+        Some(previous)
     }
 
-    /// All members, dead ones too.
+    /// All members, including dead ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> + Clone {
         self.entries.values()
     }
@@ -93,20 +93,20 @@
             .filter(|record| record.state != MemberState::Dead)
     }
 
-    /// The member at an address that is not dead.
-    pub fn at(&self, address: SocketAddr) -> Option<&MemberRecord> {
+    /// Member at an address, unless dead.
+    pub fn member_at(&self, address: SocketAddr) -> Option<&MemberRecord> {
         self.present()
             .find(|record| record.endpoint.address == address)
     }
 
-    /// Forgets members that have been dead for this long.
-    pub fn forget_dead(&mut self, now: Timestamp, retention: Duration) {
+    /// Removes members that have been dead for at least `retention`.
+    pub fn remove_expired_dead(&mut self, now: Timestamp, retention: Duration) {
         self.entries.retain(|_, entry| {
-            entry.record.state != MemberState::Dead || now.since(entry.since) < retention
+            entry.record.state != MemberState::Dead || now.since(entry.state_changed_at) < retention
         });
     }
 
-    /// The view that the other modules get.
+    /// Member view for the other modules.
     pub fn view(&self, own: &MemberRecord) -> MemberView {
         MemberView::new(own.clone(), self.present().cloned().collect())
     }
--- a/crates/thornbridge-core/src/membership/updates.rs
+++ b/crates/thornbridge-core/src/membership/updates.rs
@@ -1,7 +1,7 @@
-//! What news of a member changes here, and what is passed on.
+//! Application of member updates, and selection of updates to gossip.
 
 use super::probe::ProbeReason;
-use super::table::order;
+use super::table::precedence;
 use super::{Membership, send};
 use crate::context::Context;
 use crate::driver_action::{Action, StateChange};
@@ -14,16 +14,16 @@
 use thornbridge_proto::{Incarnation, NodeId, frame};
 
 impl Membership {
-    /// Takes updates that came with a message, and passes on those that are news.
-    pub(super) fn take_updates(&mut self, context: &mut Context<'_>, updates: Vec<MemberUpdate>) {
+    /// Applies updates from a message, and gossips those that were newer.
+    pub(super) fn apply_updates(&mut self, context: &mut Context<'_>, updates: Vec<MemberUpdate>) {
         for update in updates {
             match update {
-                MemberUpdate::Record(record) => self.take_record(context, record, true),
+                MemberUpdate::Record(record) => self.apply_record(context, record, true),
                 MemberUpdate::State {
                     node,
                     incarnation,
                     state,
-                } => self.take_state(context, node, incarnation, state),
+                } => self.apply_state(context, node, incarnation, state),
                 MemberUpdate::Suspicion {
                     node,
                     incarnation,
@@ -33,26 +33,27 @@
         }
     }
 
-    /// Takes a member list. Its members are not passed on: the sender has told others.
-    pub(super) fn take_list(&mut self, context: &mut Context<'_>, batch: MemberBatch) {
-        self.joining.joined(&self.parameters, context.now);
-        self.take_batch(context, batch.unpack());
+    /// Applies a member list, without gossiping its records.
+    pub(super) fn handle_member_list(&mut self, context: &mut Context<'_>, batch: MemberBatch) {
+        self.joining.mark_joined(&self.parameters, context.now);
+        self.apply_records(context, batch.unpack());
         self.sync.hasten(context.now, context.random);
     }
 
-    /// Takes records, and passes on none.
-    pub(super) fn take_batch(
+    /// Applies records, without gossiping them.
+    pub(super) fn apply_records(
         &mut self,
         context: &mut Context<'_>,
         records: impl IntoIterator<Item = MemberRecord>,
     ) {
         for record in records {
-            self.take_record(context, record, false);
+            self.apply_record(context, record, false);
         }
     }
 
-    /// Takes a member's record from itself. Another run at the same address is over.
-    pub(super) fn take_introduction(&mut self, context: &mut Context<'_>, member: MemberRecord) {
+    /// Applies a record received from the member itself. Other members at the same address are declared
+    /// dead, since only one process can use the address.
+    pub(super) fn handle_introduction(&mut self, context: &mut Context<'_>, member: MemberRecord) {
         let PeerEndpoint { node, address } = member.endpoint;
         let replaced: Vec<(NodeId, Incarnation)> = self
             .table
@@ -63,21 +64,21 @@
         for (node, incarnation) in replaced {
             self.declare_dead(context, node, incarnation);
         }
-        self.take_record(context, member, true);
+        self.apply_record(context, member, true);
     }
 
-    fn take_record(&mut self, context: &mut Context<'_>, record: MemberRecord, pass_on: bool) {
+    fn apply_record(&mut self, context: &mut Context<'_>, record: MemberRecord, gossip: bool) {
         let node = record.endpoint.node;
         let known = self.table.get(node).is_some() || node == self.own.endpoint.node;
         if known {
-            self.take_state(context, node, record.incarnation, record.state);
+            self.apply_state(context, node, record.incarnation, record.state);
             return;
         }
         if record.state == MemberState::Dead {
             return;
         }
-        self.log_change(context, &record);
-        if pass_on {
+        self.report_state_change(context, &record);
+        if gossip {
             self.enqueue(MemberUpdate::Record(record.clone()));
         }
         self.insert(context, record);
@@ -97,7 +98,7 @@
         }
     }
 
-    pub(super) fn take_state(
+    pub(super) fn apply_state(
         &mut self,
         context: &mut Context<'_>,
         node: NodeId,
@@ -111,23 +112,23 @@
         let Some(entry) = self.table.get(node) else {
             return;
         };
-        let held = &entry.record;
-        if order(incarnation, state) <= order(held.incarnation, held.state) {
+        let current = &entry.record;
+        if precedence(incarnation, state) <= precedence(current.incarnation, current.state) {
             return;
         }
-        match (held.state, state) {
-            // This node has not seen it fail, so it looks for itself: after a network split
-            // the other side's verdicts on this side must not empty this side's member list.
+        match (current.state, state) {
+            // Verifies the report with a probe, so that after a network split, death reports of the
+            // other side do not remove reachable members.
             (MemberState::Alive, MemberState::Dead) => {
                 self.probes
-                    .add_urgent(node, ProbeReason::DeadClaimed(incarnation));
+                    .add_urgent(node, ProbeReason::VerifyDead(incarnation));
             }
             (_, MemberState::Suspect) => self.suspect(context, node, incarnation, node),
             _ => self.advance(context, node, incarnation, state),
         }
     }
 
-    /// Sets a member's state, if that is newer, and passes it on.
+    /// Applies a state, if newer, and gossips it.
     fn advance(
         &mut self,
         context: &mut Context<'_>,
@@ -135,7 +136,7 @@
         incarnation: Incarnation,
         state: MemberState,
     ) {
-        let Some(before) = self.table.advance(context.now, node, incarnation, state) else {
+        let Some(previous) = self.table.advance(context.now, node, incarnation, state) else {
             return;
         };
         if state != MemberState::Suspect {
@@ -147,21 +148,21 @@
             });
         }
         self.view_changed = true;
-        let gone = MemberState::Dead;
-        if (before == gone) != (state == gone) {
+        let dead = MemberState::Dead;
+        if (previous == dead) != (state == dead) {
             self.members_changed = true;
         }
-        if before == gone {
+        if previous == dead {
             self.counters.revived += 1;
         }
-        if before != state
+        if previous != state
             && let Some(entry) = self.table.get(node)
         {
-            self.log_change(context, &entry.record);
+            self.report_state_change(context, &entry.record);
         }
     }
 
-    /// Holds a member suspect, on this node's own probe or on another's word.
+    /// Raises or confirms a suspicion, after an own failed probe or another member's report.
     pub(super) fn suspect(
         &mut self,
         context: &mut Context<'_>,
@@ -176,12 +177,12 @@
         let Some(entry) = self.table.get(node) else {
             return;
         };
-        let held = order(entry.record.incarnation, entry.record.state);
-        if order(incarnation, MemberState::Suspect) < held {
+        let current = precedence(entry.record.incarnation, entry.record.state);
+        if precedence(incarnation, MemberState::Suspect) < current {
             return;
         }
         let members = self.counters.members as usize;
-        let news = self.suspicions.suspect(
+        let changed = self.suspicions.suspect(
             &self.parameters,
             context.now,
             members,
@@ -189,7 +190,7 @@
             suspected_by,
         );
         self.advance(context, node, incarnation, MemberState::Suspect);
-        if news {
+        if changed {
             self.enqueue(MemberUpdate::Suspicion {
                 node,
                 incarnation,
@@ -201,9 +202,9 @@
         }
     }
 
-    /// Declares dead the suspects whose time is over.
+    /// Declares members dead whose suspicion expired.
     pub(super) fn suspicions_due(&mut self, context: &mut Context<'_>) {
-        for node in self.suspicions.expired(context.now) {
+        for node in self.suspicions.take_expired(context.now) {
             if let Some(entry) = self.table.get(node) {
                 let incarnation = entry.record.incarnation;
                 self.declare_dead(context, node, incarnation);
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Declares a member dead on this node's own judgement.
+    /// Declares a member dead.
     pub(super) fn declare_dead(
         &mut self,
         context: &mut Context<'_>,
@@ -222,10 +223,10 @@
         self.advance(context, node, incarnation, MemberState::Dead);
     }
 
-    /// Answers news of this node's own failure with a higher incarnation.
+    /// Refutes a report of this node's failure with a higher incarnation.
     fn refute(&mut self, incarnation: Incarnation, state: MemberState) {
-        let own = order(self.own.incarnation, self.own.state);
-        if order(incarnation, state) <= own {
+        let own = precedence(self.own.incarnation, self.own.state);
+        if precedence(incarnation, state) <= own {
             return;
         }
         self.counters.refutations += 1;
@@ -235,8 +236,12 @@
         self.announce_own_state();
     }
 
-    /// Asks a sender that is not known for its record.
-    pub(super) fn introduce_if_unknown(&mut self, context: &mut Context<'_>, from: PeerEndpoint) {
+    /// Requests the record of an unknown sender.
+    pub(super) fn request_introduction_if_unknown(
+        &mut self,
+        context: &mut Context<'_>,
+        from: PeerEndpoint,
+    ) {
         if self.table.get(from.node).is_none() && from.node != self.own.endpoint.node {
             send(
                 context,
@@ -246,11 +251,12 @@
         }
     }
 
-    /// Updates to send to a member: first what it must refute, then what waits.
+    /// Updates to piggyback on a message to a member, including its own suspicion or death, so that it
+    /// can refute.
     pub(super) fn updates_for(&mut self, now: Timestamp, node: NodeId) -> Vec<MemberUpdate> {
         let limit = self.parameters.updates_limit_bytes;
-        let allowance = self.budget.allowance(now, limit);
-        let mut updates = self.queue.take(allowance);
+        let allowance = self.gossip_budget.allowance(now, limit);
+        let mut updates = self.gossip_queue.take(allowance);
         if let Some(entry) = self.table.get(node)
             && matches!(entry.record.state, MemberState::Suspect | MemberState::Dead)
         {
@@ -261,22 +267,26 @@
             });
         }
         let bytes = frame::encode(&updates).map_or(0, |encoded| encoded.len());
-        self.budget.spend(bytes);
+        self.gossip_budget.spend(bytes);
         updates
     }
 
     /// Queues an update for gossip.
     pub(super) fn enqueue(&mut self, update: MemberUpdate) {
         let members = self.counters.members as usize;
-        let all = gossip::transmissions(self.parameters.transmission_margin, members);
+        let transmissions_to_all =
+            gossip::transmissions(self.parameters.transmission_margin, members);
         let transmissions = match update {
-            MemberUpdate::Record(_) => self.parameters.record_transmissions.min(all),
-            MemberUpdate::State { .. } | MemberUpdate::Suspicion { .. } => all,
+            MemberUpdate::Record(_) => self
+                .parameters
+                .record_transmissions
+                .min(transmissions_to_all),
+            MemberUpdate::State { .. } | MemberUpdate::Suspicion { .. } => transmissions_to_all,
         };
-        self.queue.push(update, transmissions);
+        self.gossip_queue.push(update, transmissions);
     }
 
-    fn log_change(&self, context: &mut Context<'_>, record: &MemberRecord) {
+    fn report_state_change(&self, context: &mut Context<'_>, record: &MemberRecord) {
         context.act(Action::StateChanged(StateChange::MemberChanged {
             node: record.endpoint.node,
             name: record.name.clone(),
--- a/crates/thornbridge-core/src/membership/view.rs
+++ b/crates/thornbridge-core/src/membership/view.rs
@@ -1,10 +1,10 @@
-//! The member list as the other modules use it.
+//! Immutable member view for other modules.
 
 use thornbridge_proto::NodeId;
 use thornbridge_proto::peer::PeerEndpoint;
 use thornbridge_proto::peer::membership::{MemberRecord, MemberState};
 
-/// Members at one moment, this node included, ordered by node id.
+/// Snapshot of the members, including this node, ordered by node id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
     own: MemberRecord,
@@ -13,7 +13,7 @@
 }
 
 impl MemberView {
-    /// A view of this node and the others.
+    /// Creates a view of this node and the others.
     pub fn new(own: MemberRecord, others: Vec<MemberRecord>) -> Self {
         let mut members = others;
         members.push(own.clone());
@@ -25,19 +25,19 @@
         }
     }
 
-    /// The same view with the members that this node gossips with.
+    /// Sets the members that this node gossips with.
     pub fn with_neighbours(mut self, neighbours: Vec<PeerEndpoint>) -> Self {
         self.neighbours = neighbours;
         self
     }
 
-    /// Members to gossip with: a few, in this and other regions, to whom links are kept anyway.
-    /// The neighbours of all nodes together form a random graph that connects them all.
+    /// Members to gossip with, to which links are kept open. See
+    /// [`overlay`](super::overlay).
     pub fn neighbours(&self) -> &[PeerEndpoint] {
         &self.neighbours
     }
 
-    /// This node.
+    /// Record of this node.
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
@@ -54,7 +54,7 @@
             .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// The member of an id.
+    /// Member with this id.
     pub fn member(&self, node: NodeId) -> Option<&MemberRecord> {
         self.members
             .binary_search_by_key(&node, |member| member.endpoint.node)
