--- a/crates/thornbridge-core/src/gateway/awaiting.rs
+++ b/crates/thornbridge-core/src/gateway/awaiting.rs
@@ -97,7 +97,7 @@
 
     /// Removes and returns the expired requests. A caller's retry is extended to the end of its
     /// patience.
-    pub(super) fn take_overdue(&mut self, now: Timestamp) -> Vec<AwaitingRequest> {
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<AwaitingRequest> {
         let patience = &self.patience;
         for request in self.requests.values_mut() {
             let patience_deadline = request.patience_deadline();
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -4,7 +4,7 @@
 use super::part::{Part, PartState};
 use super::request::{Progress, Request};
 use super::slice::Slice;
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
 use crate::gateway::event::{RequestHead, ServerReply};
@@ -168,7 +168,7 @@
     /// Refuses a request before any attempt.
     pub(super) fn refuse_unstarted(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         head: &RequestHead,
         route: &ResolvedRoute,
@@ -180,7 +180,7 @@
             head.fingerprint,
             route.route.name.clone(),
             route.version,
-            scope.registry,
+            context.registry,
             reason,
         );
         let retry_after = Some(retry_after);
@@ -189,14 +189,14 @@
             _ => CallerTry::First,
         };
         let note = note.with_retry(caller_try, retry_after);
-        scope.actions.push_back(GatewayAction::Finished(note));
+        context.actions.push_back(GatewayAction::Finished(note));
         let promise = RefusalPromise::NotRun;
         let answer = GatewayAnswer::Refused {
             reason,
             promise,
             retry_after,
         };
-        scope
+        context
             .actions
             .push_back(GatewayAction::Answer { caller, answer });
     }
@@ -204,21 +204,21 @@
     /// Logs how a request ended.
     pub(super) fn log_outcome(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         outcome: &'static str,
         retry_after: Option<Duration>,
     ) {
         let progress = request.progress();
         let mut notable = request.notes.clone();
-        self.add_unfinished_attempts(scope, request, &mut notable);
+        self.add_unfinished_attempts(context, request, &mut notable);
         let note = RequestNote {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
             route: request.route.route.name.clone(),
             version: request.route.version,
-            registry: scope.registry,
-            took: scope.now.since(request.arrived),
+            registry: context.registry,
+            took: context.now.since(request.arrived),
             objective: request.soft_deadline.since(request.arrived),
             parts: progress.answered,
             of: progress.total,
@@ -231,24 +231,24 @@
             coordinator: request.coordinator(),
             slices: request.slice_notes(),
         };
-        scope.actions.push_back(GatewayAction::Finished(note));
+        context.actions.push_back(GatewayAction::Finished(note));
     }
 
     fn add_unfinished_attempts(
         &self,
-        scope: &Scope<'_>,
+        context: &Context<'_>,
         request: &Request,
         notable: &mut Vec<AttemptNote>,
     ) {
         let unanswered = request.parts.iter().filter(|part| !part.is_answered());
         let queued = unanswered.clone().filter_map(|part| part.queued_at());
         for (server, cause) in queued {
-            let Some(server) = scope.servers.get(server) else {
+            let Some(server) = context.servers.get(server) else {
                 continue;
             };
             notable.push(AttemptNote {
                 server: server.id.clone(),
-                sent_after: scope.now.since(request.arrived),
+                sent_after: context.now.since(request.arrived),
                 cause,
                 outcome: AttemptOutcome::Waiting,
                 took: None,
@@ -258,7 +258,7 @@
             let Some(record) = self.attempts.get(attempt) else {
                 continue;
             };
-            let Some(server) = scope.servers.get(record.target.server) else {
+            let Some(server) = context.servers.get(record.target.server) else {
                 continue;
             };
             notable.push(AttemptNote {
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -3,7 +3,7 @@
 use super::dispatching::remove_in_flight;
 use super::part::PartState;
 use super::request::Request;
-use super::{AttemptTarget, Exchanges, Scope};
+use super::{AttemptTarget, Context, Exchanges};
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::event::{ExchangeFailure, ReplyVerdict, ServerReply};
@@ -39,128 +39,132 @@
     /// Handles a server's reply.
     pub(in crate::gateway) fn replied(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         attempt: AttemptId,
         reply: Box<ServerReply>,
     ) {
-        let Some(record) = self.remove_attempt(scope, attempt) else {
+        let Some(record) = self.remove_attempt(context, attempt) else {
             return;
         };
         let outcome = outcome_of(&reply);
         if let (AttemptOutcome::Answered, Some(fingerprint)) = (outcome, record.suspect) {
-            scope.quarantine.answered(scope.now, fingerprint);
+            context.quarantine.answered(context.now, fingerprint);
         }
-        self.observe_reply(scope, &record, &reply, outcome);
+        self.observe_reply(context, &record, &reply, outcome);
         let AttemptTarget { server, connection } = record.target;
         if reply.reusable {
-            scope
+            context
                 .servers
-                .release(scope.now, scope.actions, connection, reply.keep_alive);
+                .release(context.now, context.actions, connection, reply.keep_alive);
         } else {
-            scope.servers.close(scope.actions, connection);
+            context.servers.close(context.actions, connection);
         }
-        self.attempt_ended(scope, attempt, &record, outcome, Some(reply));
-        self.dispatch_waiting(scope, server);
-        scope.servers.forget_if_over(server);
+        self.attempt_ended(context, attempt, &record, outcome, Some(reply));
+        self.serve_queue(context, server);
+        context.servers.forget_if_over(server);
     }
 
     /// Handles an attempt that ended without a reply.
     pub(in crate::gateway) fn failed(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         attempt: AttemptId,
         failure: ExchangeFailure,
     ) {
-        let Some(record) = self.remove_attempt(scope, attempt) else {
+        let Some(record) = self.remove_attempt(context, attempt) else {
             return;
         };
         let AttemptTarget { server, connection } = record.target;
-        scope.servers.broke(scope.now, connection);
+        context.servers.broke(context.now, connection);
         let outcome = match failure {
             ExchangeFailure::NotSent => AttemptOutcome::NotRun,
             ExchangeFailure::MayHaveRun => AttemptOutcome::Broken,
         };
         if failure == ExchangeFailure::MayHaveRun {
-            let cost = scope.servers.parameters.failure_cost;
-            self.penalize(scope, server, cost, "broken");
-            self.report_crash(scope, &record);
+            let cost = context.servers.parameters.failure_cost;
+            self.add_failure_cost(context, server, cost, "broken");
+            self.report_crash(context, &record);
         }
-        self.attempt_ended(scope, attempt, &record, outcome, None);
-        self.dispatch_waiting(scope, server);
-        scope.servers.forget_if_over(server);
+        self.attempt_ended(context, attempt, &record, outcome, None);
+        self.serve_queue(context, server);
+        context.servers.forget_if_over(server);
     }
 
     /// Dispatches waiting parts on a new connection.
     pub(in crate::gateway) fn connection_opened(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         connection: ConnectionId,
         took: Duration,
     ) {
-        if let Some(server) = scope.servers.opened(scope.now, connection, took) {
-            self.dispatch_waiting(scope, server);
+        if let Some(server) = context.servers.opened(context.now, connection, took) {
+            self.serve_queue(context, server);
         }
     }
 
     /// Dispatches waiting parts on connections whose probation ended.
-    pub(in crate::gateway) fn connections_proved(&mut self, scope: &mut Scope<'_>) {
-        for server in scope.servers.proved(scope.now) {
-            self.dispatch_waiting(scope, server);
+    pub(in crate::gateway) fn end_connection_probation(&mut self, context: &mut Context<'_>) {
+        for server in context.servers.proved(context.now) {
+            self.serve_queue(context, server);
         }
     }
 
     /// Handles a connection that broke or could not be opened.
     pub(in crate::gateway) fn connection_lost(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         connection: ConnectionId,
     ) {
-        let Some((server, loss)) = scope.servers.lost(scope.now, connection) else {
+        let Some((server, loss)) = context.servers.lost(context.now, connection) else {
             return;
         };
         if loss == Loss::Unreachable {
-            self.report_avoidance(scope, server, "unreachable");
+            self.report_avoidance(context, server, "unreachable");
         }
         if loss != Loss::Rested {
-            self.requeue_waiting(scope, server);
+            self.reassign_queued(context, server);
         }
-        scope.servers.forget_if_over(server);
+        context.servers.forget_if_over(server);
     }
 
     /// Requeues the parts waiting for a server that accepts no new requests.
-    pub(in crate::gateway) fn server_left(&mut self, scope: &mut Scope<'_>, server: ServerKey) {
-        self.requeue_waiting(scope, server);
-        scope.servers.forget_if_over(server);
+    pub(in crate::gateway) fn server_unavailable(
+        &mut self,
+        context: &mut Context<'_>,
+        server: ServerKey,
+    ) {
+        self.reassign_queued(context, server);
+        context.servers.forget_if_over(server);
     }
 
     /// Cancels an attempt of a finished request.
-    pub(super) fn cancel_attempt(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) {
-        let Some(record) = self.remove_attempt(scope, attempt) else {
+    pub(super) fn cancel_attempt(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
+        let Some(record) = self.remove_attempt(context, attempt) else {
             return;
         };
         let AttemptTarget { server, connection } = record.target;
-        scope.servers.close(scope.actions, connection);
-        self.penalize(
-            scope,
+        context.servers.close(context.actions, connection);
+        self.add_failure_cost(
+            context,
             server,
-            scope.servers.parameters.failure_cost,
+            context.servers.parameters.failure_cost,
             "no_answer",
         );
-        self.dispatch_waiting(scope, server);
-        scope.servers.forget_if_over(server);
+        self.serve_queue(context, server);
+        context.servers.forget_if_over(server);
     }
 
     /// Detaches the attempts of a finished request and schedules their cancellation.
     pub(super) fn abandon_attempts(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         cancel_at: Timestamp,
     ) {
         let suspect = (!request.has_answer()).then_some(request.fingerprint);
         for (index, part) in request.parts.iter().enumerate() {
             if let PartState::Queued(server, _) = part.state {
-                scope.servers.stop_waiting(server, request.caller, index);
+                context.servers.stop_waiting(server, request.caller, index);
             }
             for attempt in &part.in_flight {
                 if let Some(record) = self.attempts.get_mut(attempt) {
@@ -173,12 +177,12 @@
         }
     }
 
-    fn remove_attempt(&mut self, scope: &mut Scope<'_>, attempt: AttemptId) -> Option<Attempt> {
+    fn remove_attempt(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> Option<Attempt> {
         let record = self.attempts.remove(&attempt)?;
         if let Some(cancel_at) = record.cancel_at {
             self.cancellations.remove(&(cancel_at, attempt));
         }
-        if let Some(server) = scope.servers.get_mut(record.target.server) {
+        if let Some(server) = context.servers.get_mut(record.target.server) {
             server.ended(attempt);
         }
         Some(record)
@@ -187,7 +191,7 @@
     /// Applies the result of an attempt to its request.
     fn attempt_ended(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         attempt: AttemptId,
         record: &Attempt,
         outcome: AttemptOutcome,
@@ -199,7 +203,7 @@
         let Some(mut request) = self.requests.remove(&caller) else {
             return;
         };
-        record_attempt(scope, &mut request, record, outcome);
+        record_attempt(context, &mut request, record, outcome);
         let part = &mut request.parts[record.part];
         remove_in_flight(&mut part.in_flight, attempt);
         match (outcome, reply) {
@@ -211,7 +215,7 @@
             (outcome, reply) => self.attempt_failed(&mut request, record, outcome, reply),
         }
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     fn attempt_failed(
@@ -259,16 +263,16 @@
     /// Updates speed, load and rejection statistics from a reply.
     fn observe_reply(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         record: &Attempt,
         reply: &ServerReply,
         outcome: AttemptOutcome,
     ) {
-        let now = scope.now;
+        let now = context.now;
         let took = now.since(record.sent);
-        let mean_work = scope.routes.statistics(record.route).work.mean();
-        let parameters = scope.servers.parameters.clone();
-        let Some(server) = scope.servers.get_mut(record.target.server) else {
+        let mean_work = context.routes.statistics(record.route).work.mean();
+        let parameters = context.servers.parameters.clone();
+        let Some(server) = context.servers.get_mut(record.target.server) else {
             return;
         };
         if let Some(load) = reply.load {
@@ -284,28 +288,28 @@
                     server.observe_speed(&parameters, now, work, mean_work);
                 }
                 let normalized = work.div_f64(speed.max(0.1));
-                let statistics = scope.routes.statistics(record.route);
+                let statistics = context.routes.statistics(record.route);
                 statistics.work.observe(&parameters, normalized);
             }
             AttemptOutcome::NotRun => {
-                self.penalize(
-                    scope,
+                self.add_failure_cost(
+                    context,
                     record.target.server,
                     parameters.failure_cost / 2,
                     "shed",
                 );
             }
             AttemptOutcome::WrongInstance => {
-                self.penalize(
-                    scope,
+                self.add_failure_cost(
+                    context,
                     record.target.server,
                     parameters.unreachable_cost * 4,
                     "wrong_instance",
                 );
             }
             AttemptOutcome::ServerFailure | AttemptOutcome::Spoilt => {
-                self.penalize(
-                    scope,
+                self.add_failure_cost(
+                    context,
                     record.target.server,
                     parameters.failure_cost / 2,
                     "failed",
@@ -315,27 +319,27 @@
         }
     }
 
-    fn penalize(
+    fn add_failure_cost(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         key: ServerKey,
         cost: Duration,
         cause: &'static str,
     ) {
-        let parameters = scope.servers.parameters.clone();
-        if let Some(server) = scope.servers.get_mut(key) {
-            server.failed(&parameters, scope.now, cost);
+        let parameters = context.servers.parameters.clone();
+        if let Some(server) = context.servers.get_mut(key) {
+            server.failed(&parameters, context.now, cost);
         }
-        self.report_avoidance(scope, key, cause);
+        self.report_avoidance(context, key, cause);
     }
 
     /// Logs when a server starts or stops being avoided.
-    fn report_avoidance(&mut self, scope: &mut Scope<'_>, key: ServerKey, cause: &'static str) {
-        let parameters = scope.servers.parameters.clone();
-        let Some(server) = scope.servers.get_mut(key) else {
+    fn report_avoidance(&mut self, context: &mut Context<'_>, key: ServerKey, cause: &'static str) {
+        let parameters = context.servers.parameters.clone();
+        let Some(server) = context.servers.get_mut(key) else {
             return;
         };
-        let avoided = server.failure_cost(&parameters, scope.now) >= AVOIDED_FAILURE_COST;
+        let avoided = server.failure_cost(&parameters, context.now) >= AVOIDED_FAILURE_COST;
         if avoided == server.avoided {
             return;
         }
@@ -345,7 +349,7 @@
             avoided,
             cause,
         };
-        scope.actions.push_back(GatewayAction::Changed(change));
+        context.actions.push_back(GatewayAction::Changed(change));
     }
 }
 
@@ -362,7 +366,7 @@
 }
 
 fn record_attempt(
-    scope: &mut Scope<'_>,
+    context: &mut Context<'_>,
     request: &mut Request,
     record: &Attempt,
     outcome: AttemptOutcome,
@@ -372,7 +376,7 @@
     if first_succeeded {
         return;
     }
-    let Some(server) = scope.servers.get(record.target.server) else {
+    let Some(server) = context.servers.get(record.target.server) else {
         return;
     };
     request.notes.push(AttemptNote {
@@ -380,6 +384,6 @@
         sent_after: record.sent.since(request.arrived),
         cause: record.cause,
         outcome,
-        took: Some(scope.now.since(record.sent)),
+        took: Some(context.now.since(record.sent)),
     });
 }
--- a/crates/thornbridge-core/src/gateway/exchange/crash_suspects.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/crash_suspects.rs
@@ -4,7 +4,7 @@
 use super::attempts::Attempt;
 use super::part::{Part, PartState};
 use super::request::{Origin, Request};
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::RefusalReason;
 use crate::gateway::event::RequestHead;
@@ -51,8 +51,8 @@
 
 impl Exchanges {
     /// Whether the request may be sent to another server now.
-    pub(super) fn may_send_now(scope: &Scope<'_>, request: &Request) -> bool {
-        match scope.quarantine.caution(scope.now, request.fingerprint) {
+    pub(super) fn may_send_now(context: &Context<'_>, request: &Request) -> bool {
+        match context.quarantine.caution(context.now, request.fingerprint) {
             Caution::None => true,
             Caution::OneAtATime => !request.has_attempt_in_flight(),
             Caution::NoMore | Caution::Refuse => false,
@@ -63,62 +63,64 @@
     /// the coordinator does not ask another owner.
     pub(super) fn refuse_crashing_slice(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         coordinator: SocketAddr,
         task: &SliceTask,
     ) {
         let fingerprint = task.fingerprint;
-        scope
+        context
             .quarantine
-            .tell_peer(scope.now, scope.actions, coordinator, fingerprint);
-        self.refuse_slice(scope, coordinator, task.slice);
+            .tell_peer(context.now, context.actions, coordinator, fingerprint);
+        self.refuse_slice(context, coordinator, task.slice);
     }
 
     /// Refuses a request that crashes servers before any attempt.
     pub(super) fn refuse_crashing(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         head: &RequestHead,
         route: &ResolvedRoute,
     ) {
         let reason = RefusalReason::CrashesServers;
-        let lasts = scope.quarantine.lasts(scope.now, head.fingerprint);
-        self.refuse_unstarted(scope, caller, head, route, reason, lasts);
+        let lasts = context.quarantine.lasts(context.now, head.fingerprint);
+        self.refuse_unstarted(context, caller, head, route, reason, lasts);
     }
 
     /// Reports a broken attempt as a crash that its request may have caused.
-    pub(super) fn report_crash(&self, scope: &mut Scope<'_>, record: &Attempt) {
+    pub(super) fn report_crash(&self, context: &mut Context<'_>, record: &Attempt) {
         let request = record.caller.and_then(|caller| self.requests.get(&caller));
         let fingerprint = match request {
             Some(request) => (!request.has_answer()).then_some(request.fingerprint),
             None => record.suspect,
         };
-        let server = scope.servers.get(record.target.server);
+        let server = context.servers.get(record.target.server);
         if let (Some(fingerprint), Some(server)) = (fingerprint, server) {
             let run = server.run_id();
-            scope.quarantine.crashed(scope.now, fingerprint, &run);
+            context.quarantine.crashed(context.now, fingerprint, &run);
         }
     }
 
     /// Ends a request that may be sent to no server any more.
-    pub(super) fn give_up(&mut self, scope: &mut Scope<'_>, mut request: Request) {
-        scope.quarantine.given_up(scope.now, request.fingerprint);
+    pub(super) fn give_up(&mut self, context: &mut Context<'_>, mut request: Request) {
+        context
+            .quarantine
+            .given_up(context.now, request.fingerprint);
         if matches!(request.origin, Origin::Caller) {
-            let lasts = scope.quarantine.lasts(scope.now, request.fingerprint);
+            let lasts = context.quarantine.lasts(context.now, request.fingerprint);
             let answer = crash_refusal(&request, lasts);
-            self.finish(scope, request, answer);
+            self.finish(context, request, answer);
             return;
         }
         for index in 0..request.parts.len() {
             if let Some((server, _)) = request.parts[index].queued_at() {
-                scope.servers.stop_waiting(server, request.caller, index);
+                context.servers.stop_waiting(server, request.caller, index);
             }
             if !request.parts[index].is_finished() {
                 request.parts[index].state = PartState::Failed;
             }
         }
-        self.advance_served_slice(scope, &mut request);
-        self.finish_served_slice(scope, request);
+        self.advance_served_slice(context, &mut request);
+        self.finish_served_slice(context, request);
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempt;
 use super::part::PartState;
 use super::request::Request;
-use super::{AttemptTarget, Exchanges, Scope, is_repeatable};
+use super::{AttemptTarget, Context, Exchanges, is_repeatable};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
@@ -19,23 +19,23 @@
     /// Runs what is due for one part.
     pub(super) fn advance_part(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
     ) {
-        if !Self::may_send_now(scope, request) {
+        if !Self::may_send_now(context, request) {
             return;
         }
         let part = &request.parts[index];
-        let due = part.check_at.is_some_and(|time| time <= scope.now);
+        let due = part.check_at.is_some_and(|time| time <= context.now);
         match part.state {
             PartState::NeedsAttempt(cause) if part.check_at.is_none() || due => {
-                self.dispatch(scope, request, index, cause);
+                self.dispatch(context, request, index, cause);
             }
             PartState::Queued(server, cause) if due => {
-                self.queue_wait_exceeded(scope, request, index, server, cause);
+                self.queue_wait_exceeded(context, request, index, server, cause);
             }
-            PartState::InFlight if due => self.hedge(scope, request, index),
+            PartState::InFlight if due => self.hedge(context, request, index),
             _ => {}
         }
     }
@@ -43,76 +43,76 @@
     /// Sends a part to the best server, or queues it there.
     fn dispatch(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         cause: AttemptCause,
     ) {
         let look_interval = self.parameters.look_interval;
-        let Some(choice) = self.choose(scope, request, index) else {
-            let settling = scope.now.since_epoch() < self.parameters.settling;
+        let Some(choice) = self.choose(context, request, index) else {
+            let settling = context.now.since_epoch() < self.parameters.settling;
             let may_wait = settling || request.is_caller_retry();
             let part = &mut request.parts[index];
-            let evacuated = scope.servers.is_evacuated(part.service);
+            let evacuated = context.servers.is_evacuated(part.service);
             let may_register = part.sent == 0 && may_wait && !evacuated;
-            if may_register || scope.servers.has_other_server(part.service, &part.tried) {
+            if may_register || context.servers.has_other_server(part.service, &part.tried) {
                 // A server may register or become reachable.
-                part.check_at = Some(scope.now + look_interval * 2);
+                part.check_at = Some(context.now + look_interval * 2);
             } else {
                 part.state = PartState::Failed;
             }
             return;
         };
-        self.queue_or_send(scope, request, index, choice.server, cause);
+        self.queue_or_send(context, request, index, choice.server, cause);
     }
 
     /// Sends a part to a server or queues it there, charging the budget for an extra attempt.
     fn queue_or_send(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
     ) {
         let extra = request.parts[index].is_extra();
-        if extra && !self.charge_budget(scope, request, index) {
+        if extra && !self.charge_budget(context, request, index) {
             return;
         }
-        self.queue_or_send_charged(scope, request, index, server, cause);
+        self.queue_or_send_charged(context, request, index, server, cause);
     }
 
     fn queue_or_send_charged(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
     ) {
-        match scope
+        match context
             .servers
-            .connection_for(scope.now, scope.actions, server)
+            .connection_for(context.now, context.actions, server)
         {
             OpenOutcome::Resting(connection) => {
                 let target = AttemptTarget { server, connection };
-                self.send(scope, request, index, target, cause);
+                self.send(context, request, index, target, cause);
             }
             OpenOutcome::Wait => {
-                let expected = self.expected_latency(scope, request, server);
+                let expected = self.expected_latency(context, request, server);
                 let waiting = Waiting {
                     caller: request.caller,
-                    leg: index,
+                    part: index,
                     send_by: request.soft_deadline - expected,
                     ends: request.deadline,
                 };
-                if let Some(server) = scope.servers.get_mut(server) {
+                if let Some(server) = context.servers.get_mut(server) {
                     server.waiting.push(waiting);
                 }
-                let wait = self.hedge_delay(scope, request, server);
+                let wait = self.hedge_delay(context, request, server);
                 let part = &mut request.parts[index];
                 part.state = PartState::Queued(server, cause);
-                part.check_at = Some(scope.now + wait);
+                part.check_at = Some(context.now + wait);
             }
         }
     }
@@ -121,13 +121,13 @@
     /// request of one part with no attempt in flight fails instead, unless it is a caller's retry.
     fn charge_budget(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
     ) -> bool {
         let part = &mut request.parts[index];
-        let charged = part.charged || part.take_lent(scope.now);
-        if charged || scope.budget.try_take(scope.now, part.service) {
+        let charged = part.charged || part.take_lent(context.now);
+        if charged || context.budget.try_take(context.now, part.service) {
             part.charged = true;
             return true;
         }
@@ -136,7 +136,7 @@
         let part = &mut request.parts[index];
         part.budget_denied = true;
         if may_wait || !part.in_flight.is_empty() {
-            part.check_at = Some(scope.now + self.parameters.look_interval * 4);
+            part.check_at = Some(context.now + self.parameters.look_interval * 4);
         } else {
             part.state = PartState::Failed;
         }
@@ -145,7 +145,7 @@
 
     pub(super) fn send(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         target: AttemptTarget,
@@ -153,26 +153,26 @@
     ) {
         self.next_attempt += 1;
         let attempt = AttemptId(self.next_attempt);
-        let expected = self.expected_latency(scope, request, target.server);
-        scope.servers.occupy(target.connection, attempt);
-        scope.quarantine.sent(request.fingerprint);
-        let Some(server) = scope.servers.get_mut(target.server) else {
+        let expected = self.expected_latency(context, request, target.server);
+        context.servers.occupy(target.connection, attempt);
+        context.quarantine.sent(request.fingerprint);
+        let Some(server) = context.servers.get_mut(target.server) else {
             return;
         };
-        server.sent(scope.now, attempt, expected);
+        server.sent(context.now, attempt, expected);
         let instance = server.id.clone();
         let record = Attempt {
             caller: Some(request.caller),
             part: index,
             route: request.route.key,
             target,
-            sent: scope.now,
+            sent: context.now,
             cause,
             cancel_at: None,
             suspect: Some(request.fingerprint),
         };
         self.attempts.insert(attempt, record);
-        let hedge_at = scope.now + self.hedge_delay(scope, request, target.server);
+        let hedge_at = context.now + self.hedge_delay(context, request, target.server);
         let may_hedge = is_repeatable(&request.route);
         let part = &mut request.parts[index];
         part.state = PartState::InFlight;
@@ -181,19 +181,19 @@
         part.sent += 1;
         part.charged = false;
         part.check_at = may_hedge.then_some(hedge_at);
-        scope.actions.push_back(GatewayAction::Send {
+        context.actions.push_back(GatewayAction::Send {
             connection: target.connection,
             attempt,
             caller: request.caller,
             instance,
-            patience: request.deadline.since(scope.now),
+            patience: request.deadline.since(context.now),
         });
     }
 
     /// Moves a part that is queued for too long to another server, if a responsive one exists.
     fn queue_wait_exceeded(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         queued_at: ServerKey,
@@ -202,23 +202,25 @@
         let interval = self.parameters.look_interval * 2;
         let mut excluded = request.parts[index].tried.clone();
         excluded.push(queued_at);
-        let work = self.mean_work(scope, request);
+        let work = self.mean_work(context, request);
         let service = request.parts[index].service;
-        let other = scope
+        let other = context
             .servers
-            .choose(scope.now, scope.random, service, work, &excluded);
-        request.parts[index].check_at = Some(scope.now + interval);
+            .choose(context.now, context.random, service, work, &excluded);
+        request.parts[index].check_at = Some(context.now + interval);
         let Some(other) = other.filter(|other| !other.silent) else {
-            scope
+            context
                 .servers
-                .open_for_waiting(scope.now, scope.actions, queued_at);
+                .open_for_waiting(context.now, context.actions, queued_at);
             return;
         };
-        scope.servers.stop_waiting(queued_at, request.caller, index);
+        context
+            .servers
+            .stop_waiting(queued_at, request.caller, index);
         let part = &mut request.parts[index];
         part.state = PartState::NeedsAttempt(cause);
         // The budget was charged for an extra attempt when the part was first queued.
-        self.queue_or_send_charged(scope, request, index, other.server, cause);
+        self.queue_or_send_charged(context, request, index, other.server, cause);
     }
 
     /// Whether the route allows another attempt of a part.
@@ -233,58 +235,58 @@
 
     pub(super) fn choose(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         index: usize,
     ) -> Option<Choice> {
-        let work = self.mean_work(scope, request);
+        let work = self.mean_work(context, request);
         let part = &request.parts[index];
-        scope
+        context
             .servers
-            .choose(scope.now, scope.random, part.service, work, &part.tried)
+            .choose(context.now, context.random, part.service, work, &part.tried)
     }
 
     /// Mean work of the route's requests at a server of average speed.
-    pub(super) fn mean_work(&self, scope: &mut Scope<'_>, request: &Request) -> Duration {
+    pub(super) fn mean_work(&self, context: &mut Context<'_>, request: &Request) -> Duration {
         let objective = request.route.route.latency_objective;
-        let observed = scope.routes.statistics(request.route.key).work.mean();
+        let observed = context.routes.statistics(request.route.key).work.mean();
         observed.unwrap_or_else(|| objective.mul_f64(INITIAL_WORK_SHARE))
     }
 
     fn expected_latency(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         server: ServerKey,
     ) -> Duration {
-        let work = self.mean_work(scope, request);
-        let Some(server) = scope.servers.get(server) else {
+        let work = self.mean_work(context, request);
+        let Some(server) = context.servers.get(server) else {
             return work;
         };
-        let speed = server.speed(&scope.servers.parameters, scope.now);
+        let speed = server.speed(&context.servers.parameters, context.now);
         server.round_trip() + work.mul_f64(speed)
     }
 
     /// Sends parts queued for a server while it has idle connections.
-    pub(super) fn dispatch_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
+    pub(super) fn serve_queue(&mut self, context: &mut Context<'_>, key: ServerKey) {
         loop {
-            let Some(server) = scope.servers.get(key) else {
+            let Some(server) = context.servers.get(key) else {
                 return;
             };
             let accepts_requests = server.takes_requests();
             if accepts_requests && server.resting.is_empty() {
                 return;
             }
-            let Some(waiting) = scope.servers.next_waiting(scope.now, key) else {
+            let Some(waiting) = context.servers.next_waiting(context.now, key) else {
                 return;
             };
-            self.dispatch_one_waiting(scope, key, waiting, accepts_requests);
+            self.serve_queued_part(context, key, waiting, accepts_requests);
         }
     }
 
-    fn dispatch_one_waiting(
+    fn serve_queued_part(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         key: ServerKey,
         waiting: Waiting,
         server_accepts: bool,
@@ -292,20 +294,27 @@
         let Some(mut request) = self.requests.remove(&waiting.caller) else {
             return;
         };
-        let state = &request.parts[waiting.leg].state;
+        let state = &request.parts[waiting.part].state;
         if let PartState::Queued(server, cause) = *state
             && server == key
         {
-            self.dispatch_queued(scope, &mut request, waiting.leg, key, cause, server_accepts);
+            self.dispatch_queued(
+                context,
+                &mut request,
+                waiting.part,
+                key,
+                cause,
+                server_accepts,
+            );
         }
         let caller = request.caller;
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     fn dispatch_queued(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
@@ -313,14 +322,14 @@
         server_accepts: bool,
     ) {
         if server_accepts
-            && Self::may_send_now(scope, request)
+            && Self::may_send_now(context, request)
             && let OpenOutcome::Resting(connection) =
-                scope
+                context
                     .servers
-                    .connection_for(scope.now, scope.actions, server)
+                    .connection_for(context.now, context.actions, server)
         {
             let target = AttemptTarget { server, connection };
-            self.send(scope, request, index, target, cause);
+            self.send(context, request, index, target, cause);
             return;
         }
         let part = &mut request.parts[index];
@@ -329,13 +338,13 @@
     }
 
     /// Moves the parts queued for a server that is leaving or unreachable to other servers.
-    pub(super) fn requeue_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
+    pub(super) fn reassign_queued(&mut self, context: &mut Context<'_>, key: ServerKey) {
         let mut displaced = Vec::new();
-        while let Some(waiting) = scope.servers.next_waiting(scope.now, key) {
+        while let Some(waiting) = context.servers.next_waiting(context.now, key) {
             displaced.push(waiting);
         }
         for waiting in displaced {
-            self.dispatch_one_waiting(scope, key, waiting, false);
+            self.serve_queued_part(context, key, waiting, false);
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -4,14 +4,14 @@
 //! answer in time, and not before first attempts usually finish.
 
 use super::request::Request;
-use super::{AttemptTarget, Exchanges, Scope};
+use super::{AttemptTarget, Context, Exchanges};
 use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{OpenOutcome, ServerKey};
 use std::time::Duration;
 
 impl Exchanges {
     /// Sends a hedge for a part whose first attempt is slow.
-    pub(super) fn hedge(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
+    pub(super) fn hedge(&mut self, context: &mut Context<'_>, request: &mut Request, index: usize) {
         let interval = self.parameters.look_interval * 2;
         let part = &mut request.parts[index];
         part.check_at = None;
@@ -20,42 +20,42 @@
             return;
         }
         if let Some(hedge_not_before) = request.hedge_not_before()
-            && scope.now < hedge_not_before
+            && context.now < hedge_not_before
         {
             request.parts[index].check_at = Some(hedge_not_before);
             return;
         }
-        let Some(choice) = self.choose(scope, request, index) else {
+        let Some(choice) = self.choose(context, request, index) else {
             return;
         };
-        let remaining = request.deadline.since(scope.now);
+        let remaining = request.deadline.since(context.now);
         if choice.silent || choice.cost > remaining {
-            request.parts[index].check_at = Some(scope.now + interval);
+            request.parts[index].check_at = Some(context.now + interval);
             return;
         }
         let service = request.parts[index].service;
-        if !scope.budget.allows(scope.now, service) {
+        if !context.budget.allows(context.now, service) {
             request.budget_denials += usize::from(!request.parts[index].budget_denied);
             request.parts[index].budget_denied = true;
-            request.parts[index].check_at = Some(scope.now + interval * 2);
+            request.parts[index].check_at = Some(context.now + interval * 2);
             return;
         }
         // Queueing would end the part's in-flight state. Without an idle connection one is opened,
         // and the next check uses it.
-        match scope
+        match context
             .servers
-            .connection_for(scope.now, scope.actions, choice.server)
+            .connection_for(context.now, context.actions, choice.server)
         {
             OpenOutcome::Resting(connection) => {
-                if !scope.budget.try_take(scope.now, service) {
+                if !context.budget.try_take(context.now, service) {
                     return;
                 }
                 let server = choice.server;
                 let target = AttemptTarget { server, connection };
-                self.send(scope, request, index, target, AttemptCause::Hedge);
+                self.send(context, request, index, target, AttemptCause::Hedge);
             }
             OpenOutcome::Wait => {
-                request.parts[index].check_at = Some(scope.now + self.parameters.look_interval);
+                request.parts[index].check_at = Some(context.now + self.parameters.look_interval);
             }
         }
     }
@@ -63,23 +63,23 @@
     /// Time after which an attempt at a server counts as slow.
     pub(super) fn hedge_delay(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         server: ServerKey,
     ) -> Duration {
         let parameters = &self.parameters;
         let objective = request.route.route.latency_objective;
-        let statistics = scope.routes.statistics(request.route.key);
+        let statistics = context.routes.statistics(request.route.key);
         let Some(work) = statistics.work.quantile(parameters.hedge_quantile) else {
             return objective.mul_f64(parameters.hedge_initial_share);
         };
-        let spare = self.spare_time(scope, request, server, work);
-        let Some(server) = scope.servers.get(server) else {
+        let spare = self.spare_time(context, request, server, work);
+        let Some(server) = context.servers.get(server) else {
             return work;
         };
         // Clamped, so that a slow server does not delay its hedge.
         let speed = server
-            .speed(&scope.servers.parameters, scope.now)
+            .speed(&context.servers.parameters, context.now)
             .clamp(0.7, 1.5);
         let expected_latency =
             (server.round_trip() + work.mul_f64(speed)).max(parameters.hedge_minimum);
@@ -89,19 +89,19 @@
     /// Time that remains before a hedge would answer too late, less a reserve.
     fn spare_time(
         &self,
-        scope: &Scope<'_>,
+        context: &Context<'_>,
         request: &Request,
         server: ServerKey,
         work: Duration,
     ) -> Duration {
-        let Some(round_trip) = scope.servers.round_trip_beside(server) else {
+        let Some(round_trip) = context.servers.round_trip_beside(server) else {
             return Duration::ZERO;
         };
         let needed = round_trip + work;
         let reserve = needed.mul_f64(self.parameters.hedge_reserve);
         request
             .soft_deadline
-            .since(scope.now)
+            .since(context.now)
             .saturating_sub(reserve)
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -57,7 +57,7 @@
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
 
 /// State borrowed from the gateway for one call.
-pub(super) struct Scope<'a> {
+pub(super) struct Context<'a> {
     pub(super) now: Timestamp,
     pub(super) random: &'a mut Pcg64Mcg,
     pub(super) actions: &'a mut VecDeque<GatewayAction>,
@@ -69,7 +69,7 @@
     /// Peer address of this node.
     pub(super) own_address: SocketAddr,
     /// Whether requests and peer messages may be older than they state.
-    pub(super) stale: bool,
+    pub(super) messages_may_be_stale: bool,
     /// Revision of the registry, for the log.
     pub(super) registry: StoreRevision,
 }
@@ -114,7 +114,7 @@
     }
 
     /// Records how long an answer was queued after its decision.
-    pub(super) fn answer_delayed(&mut self, by: Duration) {
+    pub(super) fn observe_answer_delay(&mut self, by: Duration) {
         self.answer_delay.observe(by);
     }
 
@@ -133,7 +133,7 @@
     /// Starts a request on its route.
     pub(super) fn start(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         head: RequestHead,
         route: Arc<ResolvedRoute>,
@@ -142,27 +142,27 @@
         let retry_after = self.parameters.retry_after;
         if self.requests.len() >= self.parameters.requests_maximum {
             let reason = RefusalReason::Overloaded;
-            self.refuse_unstarted(scope, caller, &head, &route, reason, retry_after);
+            self.refuse_unstarted(context, caller, &head, &route, reason, retry_after);
             return;
         }
-        let caution = scope.quarantine.caution(scope.now, head.fingerprint);
+        let caution = context.quarantine.caution(context.now, head.fingerprint);
         if !caution.allows_new_tries() {
-            self.refuse_crashing(scope, caller, &head, &route);
+            self.refuse_crashing(context, caller, &head, &route);
             return;
         }
-        let deadlines = self.deadlines(scope, &head, &route, arrived);
-        let services = choose_services(scope, &route);
-        if let Some(reason) = unservable_reason(scope, &route, &services, deadlines.caller_try) {
+        let deadlines = self.deadlines(context, &head, &route, arrived);
+        let services = choose_services(context, &route);
+        if let Some(reason) = unservable_reason(context, &route, &services, deadlines.caller_try) {
             let share = self.parameters.retry_after_share;
             let retry_after = deadlines.patience.mul_f64(share).max(retry_after);
-            self.refuse_unstarted(scope, caller, &head, &route, reason, retry_after);
+            self.refuse_unstarted(context, caller, &head, &route, reason, retry_after);
             return;
         }
         // Owners cannot account for time that a stale request spent queued in this process.
-        let plan = scope
+        let plan = context
             .slices
-            .plan(scope.now, route.key)
-            .filter(|_| !scope.stale && caution == Caution::None);
+            .plan(context.now, route.key)
+            .filter(|_| !context.messages_may_be_stale && caution == Caution::None);
         let plan = plan.filter(|plan| plan.covers(services.len()));
         let parts = services.into_iter().map(Part::new).collect();
         let mut request = Request {
@@ -183,117 +183,117 @@
             slices: Vec::new(),
         };
         if let Some(plan) = plan {
-            self.delegate_gather(scope, &mut request, &plan);
+            self.delegate_gather(context, &mut request, &plan);
         }
         for part in &request.parts {
             if !part.is_delegated() {
-                scope.budget.request(scope.now, part.service);
+                context.budget.request(context.now, part.service);
             }
         }
         self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     /// Drops the request of a caller that disconnected; its attempts get a grace period to finish.
-    pub(super) fn caller_gone(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
-        let cancel_at = scope.now + self.parameters.gone_grace;
-        if let Some(mut request) = self.remove_request(scope, caller, cancel_at) {
-            self.stop_slices(scope, &mut request, SliceStop::CallerGone);
-            self.log_outcome(scope, &request, "caller_gone", None);
+    pub(super) fn caller_gone(&mut self, context: &mut Context<'_>, caller: CallerId) {
+        let cancel_at = context.now + self.parameters.gone_grace;
+        if let Some(mut request) = self.remove_request(context, caller, cancel_at) {
+            self.stop_slices(context, &mut request, SliceStop::CallerGone);
+            self.log_outcome(context, &request, "caller_gone", None);
         }
     }
 
     /// Runs due checks and cancellations.
-    pub(super) fn timer_due(&mut self, scope: &mut Scope<'_>) {
+    pub(super) fn timer_due(&mut self, context: &mut Context<'_>) {
         while let Some((time, caller)) = self.schedule.first().copied() {
-            if time > scope.now {
+            if time > context.now {
                 break;
             }
             self.schedule.remove(&(time, caller));
-            self.advance(scope, caller);
+            self.advance(context, caller);
         }
         while let Some((time, attempt)) = self.cancellations.first().copied() {
-            if time > scope.now {
+            if time > context.now {
                 break;
             }
             self.cancellations.remove(&(time, attempt));
-            self.cancel_attempt(scope, attempt);
+            self.cancel_attempt(context, attempt);
         }
     }
 
     /// Runs what is due for a request, then answers or reschedules it.
-    fn advance(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
+    fn advance(&mut self, context: &mut Context<'_>, caller: CallerId) {
         let Some(mut request) = self.requests.remove(&caller) else {
             return;
         };
         self.schedule.remove(&(request.check_at, caller));
-        let caution = scope.quarantine.caution(scope.now, request.fingerprint);
+        let caution = context.quarantine.caution(context.now, request.fingerprint);
         if caution == Caution::None {
-            self.advance_slices(scope, &mut request);
+            self.advance_slices(context, &mut request);
         }
         if request.should_give_up(caution) {
-            self.give_up(scope, request);
+            self.give_up(context, request);
             return;
         }
         for index in 0..request.parts.len() {
-            self.advance_part(scope, &mut request, index);
+            self.advance_part(context, &mut request, index);
         }
         if matches!(request.origin, Origin::Coordinator(_)) {
-            if self.advance_served_slice(scope, &mut request) {
-                self.finish_served_slice(scope, request);
+            if self.advance_served_slice(context, &mut request) {
+                self.finish_served_slice(context, request);
                 return;
             }
-        } else if let Some(answer) = answering::answer(&self.parameters, scope.now, &request) {
-            self.finish(scope, request, answer);
+        } else if let Some(answer) = answering::answer(&self.parameters, context.now, &request) {
+            self.finish(context, request, answer);
             return;
         }
-        request.check_at = request.next_check_under(caution, scope.now);
+        request.check_at = request.next_check_under(caution, context.now);
         self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
     }
 
-    fn finish(&mut self, scope: &mut Scope<'_>, mut request: Request, answer: GatewayAnswer) {
+    fn finish(&mut self, context: &mut Context<'_>, mut request: Request, answer: GatewayAnswer) {
         let outcome = answering::outcome(&answer);
         let retry_after = answering::retry_after(&answer);
-        let cancel_at = request.deadline.max(scope.now) + self.parameters.gone_grace;
-        self.abandon_attempts(scope, &request, cancel_at);
+        let cancel_at = request.deadline.max(context.now) + self.parameters.gone_grace;
+        self.abandon_attempts(context, &request, cancel_at);
         // Answer before logging: only the answer is urgent.
         let caller = request.caller;
-        scope
+        context
             .actions
             .push_back(GatewayAction::Answer { caller, answer });
         if !request.slices.is_empty() && !request.most_slices_have_silent_owner() {
-            scope.slices.reset_division_backoff();
+            context.slices.reset_division_backoff();
         }
-        self.stop_slices(scope, &mut request, SliceStop::Answered);
-        self.log_outcome(scope, &request, outcome, retry_after);
+        self.stop_slices(context, &mut request, SliceStop::Answered);
+        self.log_outcome(context, &request, outcome, retry_after);
     }
 
     /// Removes a request and schedules its attempts for cancellation at `cancel_at`.
     fn remove_request(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         cancel_at: Timestamp,
     ) -> Option<Request> {
         let request = self.requests.remove(&caller)?;
         self.schedule.remove(&(request.check_at, caller));
-        self.abandon_attempts(scope, &request, cancel_at);
+        self.abandon_attempts(context, &request, cancel_at);
         Some(request)
     }
 
     /// Soft and hard deadline of a request.
     fn deadlines(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         head: &RequestHead,
         route: &ResolvedRoute,
         arrived: Timestamp,
     ) -> Deadlines {
         let parameters = &self.parameters;
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
-        let statistics = scope.routes.statistics(route.key);
+        let statistics = context.routes.statistics(route.key);
         statistics.patience.observe(patience);
         let spent = statistics.patience.spent(patience);
         let caller_try = statistics.patience.judge(patience);
@@ -327,12 +327,12 @@
 }
 
 /// Service of each part.
-fn choose_services(scope: &mut Scope<'_>, route: &ResolvedRoute) -> Vec<ServiceKey> {
+fn choose_services(context: &mut Context<'_>, route: &ResolvedRoute) -> Vec<ServiceKey> {
     match &route.target {
         ResolvedTarget::Service(service) => vec![*service],
         ResolvedTarget::Gather(gather) => gather.shards.clone(),
         ResolvedTarget::Split(parts) => {
-            let index = scope.routes.statistics(route.key).next_part(parts);
+            let index = context.routes.statistics(route.key).next_part(parts);
             vec![parts[index].0]
         }
     }
@@ -341,15 +341,15 @@
 /// Why a request is refused at once: too few of its services have a registered server. A caller's
 /// retry waits for servers to register, except in evacuated zones.
 fn unservable_reason(
-    scope: &Scope<'_>,
+    context: &Context<'_>,
     route: &ResolvedRoute,
     services: &[ServiceKey],
     caller_try: CallerTry,
 ) -> Option<RefusalReason> {
     let will_retry = caller_try == CallerTry::First;
     let served = services.iter().filter(|key| match will_retry {
-        true => scope.servers.has_server(**key),
-        false => !scope.servers.is_evacuated(**key),
+        true => context.servers.has_server(**key),
+        false => !context.servers.is_evacuated(**key),
     });
     let (required, reason) = match &route.target {
         ResolvedTarget::Gather(gather) => (gather.least_parts, RefusalReason::TooFewShards),
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -3,7 +3,7 @@
 use super::part::{Part, PartState};
 use super::request::Request;
 use super::slice::send_message;
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::gateway::notes::SliceOutcome;
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -25,17 +25,17 @@
     /// Treats a task that could not be sent as refused.
     pub(in crate::gateway) fn task_not_sent(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         owner: SocketAddr,
         slice: SliceId,
     ) {
-        self.slice_reported(scope, owner, slice, SliceReport::refusal(), false);
+        self.slice_reported(context, owner, slice, SliceReport::refusal(), false);
     }
 
     /// Handles a report, and a request for further attempts if the owner makes one.
     pub(in crate::gateway) fn slice_reported(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         owner: SocketAddr,
         id: SliceId,
         report: SliceReport,
@@ -52,17 +52,17 @@
             self.requests.insert(caller, request);
             return;
         }
-        self.apply_report(scope, &mut request, &sender, report);
+        self.apply_report(context, &mut request, &sender, report);
         if requests_grant {
-            grant_attempts(scope, &mut request, &sender);
+            grant_attempts(context, &mut request, &sender);
         }
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     fn apply_report(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         sender: &Sender,
         report: SliceReport,
@@ -73,7 +73,7 @@
         };
         if report.refused {
             let refused = SliceOutcome::Refused;
-            self.owner_lost(scope, request, sender.index, sender.id, refused);
+            self.owner_lost(context, request, sender.index, sender.id, refused);
             return;
         }
         if matches!(
@@ -81,12 +81,15 @@
             SliceOutcome::Asked | SliceOutcome::Silent
         ) {
             let elapsed = Duration::from_micros(report.elapsed_us);
-            let overhead = scope.now.since(delegation.sent_at).saturating_sub(elapsed);
-            scope.slices.owner_answered(sender.owner, overhead);
+            let overhead = context
+                .now
+                .since(delegation.sent_at)
+                .saturating_sub(elapsed);
+            context.slices.owner_answered(sender.owner, overhead);
             let waiting = f64::from(report.waiting);
-            scope
+            context
                 .slices
-                .observe_owner_queue(scope.now, sender.owner, waiting);
+                .observe_owner_queue(context.now, sender.owner, waiting);
         }
         delegation.outcome = match report.finished {
             true => SliceOutcome::Finished,
@@ -98,20 +101,20 @@
         if !slice.awaits_first_report() {
             slice.silent_at = None;
         }
-        apply_shards(scope, request, sender, report);
+        apply_shards(context, request, sender, report);
         if request.slices[sender.index]
             .open_delegations()
             .next()
             .is_none()
         {
             // Shards missing from all reports, because one was lost, are delegated again.
-            self.delegate_slice(scope, request, sender.index);
+            self.delegate_slice(context, request, sender.index);
         }
     }
 }
 
 /// Grants an owner all remaining attempts, or none if another owner may have used them.
-fn grant_attempts(scope: &mut Scope<'_>, request: &mut Request, sender: &Sender) {
+fn grant_attempts(context: &mut Context<'_>, request: &mut Request, sender: &Sender) {
     let all = request.max_attempts;
     let slice = &mut request.slices[sender.index];
     let mut others = slice
@@ -126,19 +129,19 @@
     slice.granted_attempts += attempts - 1;
     let lent = match attempts {
         1 => Vec::new(),
-        _ => lend_attempts(scope, request, sender.index),
+        _ => lend_attempts(context, request, sender.index),
     };
     let grant = SliceMessage::Grant {
         slice: sender.id,
         attempts,
         lent,
     };
-    send_message(scope, sender.owner, grant);
+    send_message(context, sender.owner, grant);
 }
 
 /// Charges this node's budget for extra attempts on the open shards of a slice. Budgets are divided
 /// among all nodes, so lending moves unused shares to the owners without exceeding the total.
-fn lend_attempts(scope: &mut Scope<'_>, request: &Request, index: usize) -> Vec<u16> {
+fn lend_attempts(context: &mut Context<'_>, request: &Request, index: usize) -> Vec<u16> {
     let mut lent = Vec::new();
     for (position, part) in request.parts[request.slices[index].shards()]
         .iter()
@@ -148,7 +151,7 @@
             break;
         };
         for _ in 0..MAX_LENT_PER_SHARD {
-            if part.is_delegated() && scope.budget.try_take(scope.now, part.service) {
+            if part.is_delegated() && context.budget.try_take(context.now, part.service) {
                 lent.push(position);
             }
         }
@@ -158,7 +161,7 @@
 
 /// Applies the shard results of a report.
 fn apply_shards(
-    scope: &mut Scope<'_>,
+    context: &mut Context<'_>,
     request: &mut Request,
     sender: &Sender,
     report: SliceReport,
@@ -175,7 +178,9 @@
         .filter(|(position, _)| *position < shards.end)
         .collect();
     if !answered.is_empty() {
-        scope.quarantine.answered(scope.now, request.fingerprint);
+        context
+            .quarantine
+            .answered(context.now, request.fingerprint);
     }
     let Some(delegation) = slice.delegation_mut(sender.id) else {
         return;
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -1,6 +1,6 @@
 //! Slices of a gather and their delegations, as tracked by the coordinator.
 
-use super::Scope;
+use super::Context;
 use crate::gateway::action::GatewayAction;
 use crate::gateway::notes::{SliceNote, SliceOutcome};
 use crate::gateway::slices::Plan;
@@ -157,9 +157,9 @@
 }
 
 /// Sends a slice message to the coordinator or an owner.
-pub(super) fn send_message(scope: &mut Scope<'_>, to: SocketAddr, message: SliceMessage) {
+pub(super) fn send_message(context: &mut Context<'_>, to: SocketAddr, message: SliceMessage) {
     let message = PeerMessage::Slice(message);
-    scope
+    context
         .actions
         .push_back(GatewayAction::SendPeer { to, message });
 }
--- a/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
@@ -9,7 +9,7 @@
 use super::part::{Part, PartState};
 use super::request::Request;
 use super::slice::{Delegation, MAX_DELEGATIONS, Slice, send_message};
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::GatewayAction;
 use crate::gateway::notes::{AttemptCause, GatewayChange, SliceOutcome};
@@ -28,7 +28,7 @@
     /// Delegates each slice of a request.
     pub(super) fn delegate_gather(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         plan: &Arc<Plan>,
     ) {
@@ -38,7 +38,7 @@
         for group in 0..plan.groups.len() {
             request.slices.push(Slice::new(Arc::clone(plan), group));
             let index = request.slices.len() - 1;
-            self.delegate_slice(scope, request, index);
+            self.delegate_slice(context, request, index);
         }
     }
 
@@ -46,7 +46,7 @@
     /// none.
     pub(super) fn delegate_slice(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
     ) {
@@ -57,12 +57,14 @@
         }
         let delegated_to = slice.owners();
         let group = &slice.plan.groups[slice.group];
-        let owner = scope.slices.choose_owner(scope.now, group, &delegated_to);
+        let owner = context
+            .slices
+            .choose_owner(context.now, group, &delegated_to);
         let may_delegate =
             delegated_to.len() < MAX_DELEGATIONS && slice.granted_attempts < request.max_attempts;
         match owner.filter(|_| may_delegate) {
-            Some(owner) if owner != scope.own_address => {
-                self.send_task(scope, request, index, owner);
+            Some(owner) if owner != context.own_address => {
+                self.send_task(context, request, index, owner);
             }
             _ => serve_locally(request, index),
         }
@@ -70,30 +72,30 @@
 
     fn send_task(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         owner: SocketAddr,
     ) {
-        let hedge_not_before = self.hedge_not_before(scope, request, index);
-        let Some(task) = slice_task(scope, request, index, hedge_not_before) else {
+        let hedge_not_before = self.hedge_not_before(context, request, index);
+        let Some(task) = slice_task(context, request, index, hedge_not_before) else {
             return;
         };
         let id = task.slice;
         let objective = request.route.route.latency_objective;
-        let overhead = scope.slices.overhead(objective);
+        let overhead = context.slices.overhead(objective);
         let margin = objective.mul_f64(self.parameters.silent_owner_share);
         let slice = &mut request.slices[index];
         slice
             .delegations
-            .push(Delegation::new(owner, id, scope.now));
+            .push(Delegation::new(owner, id, context.now));
         slice.silent_at = Some(hedge_not_before + overhead + margin);
         slice.granted_attempts += 1;
         self.delegated_slices.insert(id, (request.caller, index));
-        scope.slices.spoke_to(scope.now, owner);
+        context.slices.message_sent(context.now, owner);
         let caller = request.caller;
         let task = Box::new(task);
-        scope.actions.push_back(GatewayAction::AskOwner {
+        context.actions.push_back(GatewayAction::AskOwner {
             to: owner,
             caller,
             task,
@@ -103,30 +105,30 @@
     /// Earliest time at which a hedge of a shard is worth its cost; the owner reports then.
     fn hedge_not_before(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         index: usize,
     ) -> Timestamp {
         let parameters = &self.parameters;
         let objective = request.route.route.latency_objective;
-        let statistics = scope.routes.statistics(request.route.key);
+        let statistics = context.routes.statistics(request.route.key);
         let work = statistics.work.quantile(parameters.hedge_quantile);
         let work = work.unwrap_or_else(|| objective.mul_f64(parameters.hedge_initial_share));
         let parts = request.slices[index].shards().len();
-        scope.now + work + scope.slices.processing_time(parts)
+        context.now + work + context.slices.processing_time(parts)
     }
 
     /// Delegates the slices of silent owners again.
-    pub(super) fn advance_slices(&mut self, scope: &mut Scope<'_>, request: &mut Request) {
+    pub(super) fn advance_slices(&mut self, context: &mut Context<'_>, request: &mut Request) {
         let mut silent = Vec::new();
         for index in 0..request.slices.len() {
             let slice = &mut request.slices[index];
-            let Some(silent_at) = slice.silent_at.filter(|time| *time <= scope.now) else {
+            let Some(silent_at) = slice.silent_at.filter(|time| *time <= context.now) else {
                 continue;
             };
-            if scope.now.since(silent_at) > LATE_TIMER_THRESHOLD {
+            if context.now.since(silent_at) > LATE_TIMER_THRESHOLD {
                 // The timer is late, so the report may be queued in this node.
-                slice.silent_at = Some(scope.now + LATE_TIMER_THRESHOLD);
+                slice.silent_at = Some(context.now + LATE_TIMER_THRESHOLD);
                 continue;
             }
             slice.silent_at = None;
@@ -135,19 +137,19 @@
                 unreported.filter(|delegation| delegation.outcome == SliceOutcome::Asked);
             for delegation in unreported {
                 delegation.outcome = SliceOutcome::Silent;
-                scope.slices.owner_failed(scope.now, delegation.owner);
+                context.slices.owner_failed(context.now, delegation.owner);
             }
             silent.push(index);
         }
         for index in silent {
-            self.redelegate(scope, request, index);
+            self.redelegate(context, request, index);
         }
     }
 
     /// Handles an owner that will send no more reports.
     pub(super) fn owner_lost(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         id: SliceId,
@@ -161,30 +163,34 @@
         }
         if slice.open_delegations().next().is_none() {
             slice.silent_at = None;
-            self.delegate_slice(scope, request, index);
+            self.delegate_slice(context, request, index);
         } else {
-            self.redelegate(scope, request, index);
+            self.redelegate(context, request, index);
         }
     }
 
     /// Delegates a slice again if its owners are silent and attempts are left. When most owners are
     /// silent this node may be partitioned, and serves the shards itself.
-    fn redelegate(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) {
+    fn redelegate(&mut self, context: &mut Context<'_>, request: &mut Request, index: usize) {
         let slice = &request.slices[index];
         if slice.has_responsive_owner() || slice.granted_attempts >= request.max_attempts {
             return;
         }
         if request.most_slices_have_silent_owner() {
-            suspend_division(scope, request);
+            suspend_division(context, request);
             serve_locally(request, index);
         } else {
-            self.delegate_slice(scope, request, index);
+            self.delegate_slice(context, request, index);
         }
     }
 
     /// Handles a broken peer link: slices delegated to the peer are lost, slices served for it end.
-    pub(in crate::gateway) fn peer_lost(&mut self, scope: &mut Scope<'_>, peer: SocketAddr) {
-        scope.slices.link_lost(peer);
+    pub(in crate::gateway) fn peer_link_lost(
+        &mut self,
+        context: &mut Context<'_>,
+        peer: SocketAddr,
+    ) {
+        context.slices.link_lost(peer);
         let slices = self.delegated_slices.iter();
         let slices = slices.map(|(id, (caller, index))| (*id, *caller, *index));
         let slices: Vec<(SliceId, CallerId, usize)> = slices.collect();
@@ -196,23 +202,23 @@
             let lost = request.slices[index].is_delegated_to(peer, id);
             if lost {
                 failed = true;
-                self.owner_lost(scope, &mut request, index, id, SliceOutcome::Lost);
+                self.owner_lost(context, &mut request, index, id, SliceOutcome::Lost);
             }
             self.requests.insert(caller, request);
             if lost {
-                self.advance(scope, caller);
+                self.advance(context, caller);
             }
         }
         if failed {
-            scope.slices.owner_failed(scope.now, peer);
+            context.slices.owner_failed(context.now, peer);
         }
-        self.coordinator_lost(scope, peer);
+        self.coordinator_lost(context, peer);
     }
 
     /// Tells owners that may still report that the request is finished.
     pub(super) fn stop_slices(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         reason: SliceStop,
     ) {
@@ -220,7 +226,7 @@
             for delegation in slice.open_delegations() {
                 let slice = delegation.id;
                 send_message(
-                    scope,
+                    context,
                     delegation.owner,
                     SliceMessage::Stop { slice, reason },
                 );
@@ -232,8 +238,8 @@
     }
 }
 
-fn suspend_division(scope: &mut Scope<'_>, request: &Request) {
-    let Some(lasts) = scope.slices.suspend_division(scope.now) else {
+fn suspend_division(context: &mut Context<'_>, request: &Request) {
+    let Some(lasts) = context.slices.suspend_division(context.now) else {
         return;
     };
     let change = GatewayChange::OwnersMissing {
@@ -241,12 +247,12 @@
         slices: request.slices.len(),
         lasts,
     };
-    scope.actions.push_back(GatewayAction::Changed(change));
+    context.actions.push_back(GatewayAction::Changed(change));
 }
 
 /// Task for the next owner of a slice, with one attempt per shard.
 fn slice_task(
-    scope: &mut Scope<'_>,
+    context: &mut Context<'_>,
     request: &Request,
     index: usize,
     hedge_not_before: Timestamp,
@@ -256,23 +262,23 @@
     };
     let slice = &request.slices[index];
     let route = &request.route.route;
-    let overhead = scope.slices.overhead(route.latency_objective);
-    let remaining = request.soft_deadline.since(scope.now);
+    let overhead = context.slices.overhead(route.latency_objective);
+    let remaining = request.soft_deadline.since(context.now);
     Some(SliceTask {
-        slice: scope.slices.allocate_id(),
+        slice: context.slices.allocate_id(),
         request_id: request.id.clone(),
         fingerprint: request.fingerprint,
         host: route.host.clone(),
         prefix: route.prefix.clone(),
         version: request.route.version.0,
-        shards: shard_names(scope, gather, slice),
+        shards: shard_names(context, gather, slice),
         records: u32::try_from(gather.records).unwrap_or(u32::MAX),
         attempts: slice.granted_attempts + 1,
         prior_attempts: slice.granted_attempts,
         objective_us: micros(route.latency_objective),
         report_in_us: micros(remaining.saturating_sub(overhead)),
-        second_after_us: micros(hedge_not_before.since(scope.now)),
-        ends_in_us: micros(request.deadline.since(scope.now)),
+        second_after_us: micros(hedge_not_before.since(context.now)),
+        ends_in_us: micros(request.deadline.since(context.now)),
     })
 }
 
@@ -300,12 +306,12 @@
 }
 
 fn shard_names(
-    scope: &Scope<'_>,
+    context: &Context<'_>,
     gather: &ResolvedGather,
     slice: &Slice,
 ) -> Vec<thornbridge_proto::ServiceName> {
     let shards = gather.shards[slice.shards()].iter();
-    let names = shards.filter_map(|shard| scope.servers.service_name(*shard));
+    let names = shards.filter_map(|shard| context.servers.service_name(*shard));
     names.cloned().collect()
 }
 
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -9,7 +9,7 @@
 use super::part::{Part, PartState};
 use super::request::{Origin, Request};
 use super::slice::send_message;
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::GatewayAction;
 use crate::gateway::patience::CallerTry;
@@ -79,14 +79,14 @@
     /// Starts serving a slice.
     pub(in crate::gateway) fn serve_slice(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         coordinator: SocketAddr,
         task: SliceTask,
         relayed: SharedBytes,
     ) {
         let services = task.shards.iter();
         let services: Vec<_> = services
-            .map(|name| scope.servers.known_service(name))
+            .map(|name| context.servers.known_service(name))
             .collect();
         if self.served_slices.contains_key(&(coordinator, task.slice)) {
             // The slice is already in flight, so a refusal would be wrong.
@@ -94,13 +94,13 @@
         }
         let overloaded = self.requests.len() >= self.parameters.requests_maximum;
         let unknown = services.iter().all(Option::is_none);
-        let caution = scope.quarantine.caution(scope.now, task.fingerprint);
+        let caution = context.quarantine.caution(context.now, task.fingerprint);
         if !caution.allows_new_tries() {
-            self.refuse_crashing_slice(scope, coordinator, &task);
+            self.refuse_crashing_slice(context, coordinator, &task);
             return;
         }
         if overloaded || unknown {
-            self.refuse_slice(scope, coordinator, task.slice);
+            self.refuse_slice(context, coordinator, task.slice);
             return;
         }
         self.next_slice_caller += 1;
@@ -108,7 +108,7 @@
         let parts = services.into_iter().map(|service| match service {
             Some(service) => {
                 if task.prior_attempts == 0 {
-                    scope.budget.request(scope.now, service);
+                    context.budget.request(context.now, service);
                 }
                 let mut part = Part::new(service);
                 part.prior_attempts = task.prior_attempts;
@@ -117,7 +117,7 @@
             None => Part::unknown(),
         });
         let parts: Vec<Part> = parts.collect();
-        let now = scope.now;
+        let now = context.now;
         let from_now = |micros: u64| now + Duration::from_micros(micros);
         let deadline = from_now(task.ends_in_us);
         let request = Request {
@@ -141,53 +141,58 @@
                 last_report_at: None,
             }),
             max_attempts: task.attempts,
-            route: Arc::new(slice_route(scope, task, &parts)),
+            route: Arc::new(slice_route(context, task, &parts)),
             parts,
         };
         self.served_slices
             .insert((coordinator, slice_id(&request)), caller);
-        scope
+        context
             .actions
             .push_back(GatewayAction::Adopt { caller, relayed });
         self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     /// Reports to a coordinator that nothing of a slice ran or will run.
     pub(in crate::gateway) fn refuse_slice(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         coordinator: SocketAddr,
         slice: SliceId,
     ) {
         let report = SliceReport::refusal();
-        send_message(scope, coordinator, SliceMessage::Report { slice, report });
+        send_message(context, coordinator, SliceMessage::Report { slice, report });
     }
 
     /// Refuses a slice whose relayed request is unusable; no attempt was sent.
-    pub(in crate::gateway) fn relay_unusable(&mut self, scope: &mut Scope<'_>, caller: CallerId) {
+    pub(in crate::gateway) fn relay_unusable(
+        &mut self,
+        context: &mut Context<'_>,
+        caller: CallerId,
+    ) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
         if let Origin::Coordinator(coordinator) = &request.origin {
             let (address, slice) = (coordinator.address, coordinator.slice);
-            self.refuse_slice(scope, address, slice);
-            self.end_served_slice(scope, caller, "slice_refused", true);
+            self.refuse_slice(context, address, slice);
+            self.end_served_slice(context, caller, "slice_refused", true);
         }
     }
 
     /// Sends due reports; returns whether the slice is finished.
     pub(super) fn advance_served_slice(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
     ) -> bool {
-        let finished = request.parts.iter().all(Part::is_finished) || scope.now >= request.deadline;
-        let soft_deadline_passed = scope.now >= request.soft_deadline;
+        let finished =
+            request.parts.iter().all(Part::is_finished) || context.now >= request.deadline;
+        let soft_deadline_passed = context.now >= request.soft_deadline;
         let first_report_due = request
             .first_report_at()
-            .is_some_and(|time| time <= scope.now);
+            .is_some_and(|time| time <= context.now);
         let Origin::Coordinator(coordinator) = &request.origin else {
             return false;
         };
@@ -196,9 +201,9 @@
             .iter()
             .any(|part| part.is_finished() && !part.reported);
         let late_report_due =
-            soft_deadline_passed && has_unreported && coordinator.may_report_again(scope.now);
+            soft_deadline_passed && has_unreported && coordinator.may_report_again(context.now);
         if finished || coordinator.report_due || first_report_due || late_report_due {
-            report(scope, request, finished);
+            report(context, request, finished);
         }
         finished
     }
@@ -207,7 +212,7 @@
     /// attempt.
     pub(in crate::gateway) fn attempts_granted(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         coordinator: SocketAddr,
         slice: SliceId,
         attempts: u32,
@@ -225,21 +230,21 @@
         request.max_attempts = request.max_attempts.max(attempts);
         for position in lent {
             if let Some(part) = request.parts.get_mut(usize::from(*position)) {
-                part.lend(scope.now);
+                part.lend(context.now);
             }
         }
         for index in 0..request.parts.len() {
             let may_send = self.allows_another_attempt(&request, index);
-            request.parts[index].apply_grant(scope.now, may_send);
+            request.parts[index].apply_grant(context.now, may_send);
         }
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
     /// Ends a slice whose reports the coordinator no longer wants.
     pub(in crate::gateway) fn slice_stopped(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         coordinator: SocketAddr,
         slice: SliceId,
         reason: SliceStop,
@@ -248,74 +253,75 @@
             return;
         };
         match reason {
-            SliceStop::Answered => self.end_served_slice(scope, caller, "slice_answered", false),
+            SliceStop::Answered => self.end_served_slice(context, caller, "slice_answered", false),
             SliceStop::CallerGone => {
-                self.end_served_slice(scope, caller, "slice_caller_gone", true)
+                self.end_served_slice(context, caller, "slice_caller_gone", true)
             }
         }
     }
 
     /// Ends the slices of a coordinator whose link broke.
-    pub(super) fn coordinator_lost(&mut self, scope: &mut Scope<'_>, coordinator: SocketAddr) {
+    pub(super) fn coordinator_lost(&mut self, context: &mut Context<'_>, coordinator: SocketAddr) {
         let served = self.served_slices.iter();
         let lost = served.filter(|((address, _), _)| *address == coordinator);
         let lost: Vec<CallerId> = lost.map(|(_, caller)| *caller).collect();
         for caller in lost {
-            self.end_served_slice(scope, caller, "slice_coordinator_lost", true);
+            self.end_served_slice(context, caller, "slice_coordinator_lost", true);
         }
     }
 
     fn end_served_slice(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         outcome: &'static str,
         cancel_now: bool,
     ) {
         let deadline = self.requests.get(&caller).map(|request| request.deadline);
         let deadline = if cancel_now {
-            scope.now
+            context.now
         } else {
-            deadline.unwrap_or(scope.now)
+            deadline.unwrap_or(context.now)
         };
-        let cancel_at = deadline.max(scope.now) + self.parameters.gone_grace;
-        if let Some(request) = self.remove_request(scope, caller, cancel_at) {
-            self.release_served_slice(scope, &request);
-            self.log_outcome(scope, &request, outcome, None);
+        let cancel_at = deadline.max(context.now) + self.parameters.gone_grace;
+        if let Some(request) = self.remove_request(context, caller, cancel_at) {
+            self.release_served_slice(context, &request);
+            self.log_outcome(context, &request, outcome, None);
         }
     }
 
     /// Removes a finished slice.
-    pub(super) fn finish_served_slice(&mut self, scope: &mut Scope<'_>, request: Request) {
-        let cancel_at = request.deadline.max(scope.now) + self.parameters.gone_grace;
-        self.abandon_attempts(scope, &request, cancel_at);
-        self.release_served_slice(scope, &request);
+    pub(super) fn finish_served_slice(&mut self, context: &mut Context<'_>, request: Request) {
+        let cancel_at = request.deadline.max(context.now) + self.parameters.gone_grace;
+        self.abandon_attempts(context, &request, cancel_at);
+        self.release_served_slice(context, &request);
         let progress = request.progress();
         let outcome = match progress.answered == progress.total {
             true => "slice",
             false => "slice_partial",
         };
-        self.log_outcome(scope, &request, outcome, None);
+        self.log_outcome(context, &request, outcome, None);
     }
 
-    fn release_served_slice(&mut self, scope: &mut Scope<'_>, request: &Request) {
+    fn release_served_slice(&mut self, context: &mut Context<'_>, request: &Request) {
         if let Origin::Coordinator(coordinator) = &request.origin {
             self.served_slices
                 .remove(&(coordinator.address, coordinator.slice));
         }
         let caller = request.caller;
-        scope.actions.push_back(GatewayAction::Release { caller });
+        context.actions.push_back(GatewayAction::Release { caller });
     }
 }
 
 /// Reports the shards that are finished and not yet reported.
-fn report(scope: &mut Scope<'_>, request: &mut Request, finished: bool) {
+fn report(context: &mut Context<'_>, request: &mut Request, finished: bool) {
     let ResolvedTarget::Gather(gather) = &request.route.target else {
         return;
     };
     let mut report = SliceReport {
         finished,
-        elapsed_us: u64::try_from(scope.now.since(request.arrived).as_micros()).unwrap_or(u64::MAX),
+        elapsed_us: u64::try_from(context.now.since(request.arrived).as_micros())
+            .unwrap_or(u64::MAX),
         ..SliceReport::default()
     };
     let waiting = request
@@ -348,7 +354,7 @@
         return;
     };
     coordinator.report_due = false;
-    coordinator.last_report_at = Some(scope.now);
+    coordinator.last_report_at = Some(context.now);
     let slice = coordinator.slice;
     let requests_grant = pending && !finished && coordinator.grant == GrantState::NotRequested;
     let message = match requests_grant {
@@ -358,7 +364,7 @@
     if requests_grant {
         coordinator.grant = GrantState::Requested;
     }
-    send_message(scope, coordinator.address, message);
+    send_message(context, coordinator.address, message);
 }
 
 fn slice_id(request: &Request) -> SliceId {
@@ -369,8 +375,8 @@
 }
 
 /// Route as known to the coordinator, restricted to the shards of the slice.
-fn slice_route(scope: &mut Scope<'_>, task: SliceTask, parts: &[Part]) -> ResolvedRoute {
-    let known = scope.routes.find(&task.host, &task.prefix);
+fn slice_route(context: &mut Context<'_>, task: SliceTask, parts: &[Part]) -> ResolvedRoute {
+    let known = context.routes.find(&task.host, &task.prefix);
     let (key, name) = known.map_or_else(Default::default, |known| {
         (known.key, known.route.name.clone())
     });
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -4,7 +4,7 @@
 use super::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
 use super::awaiting::AwaitingRequest;
 use super::event::{GatewayEvent, RequestHead};
-use super::exchange::{Exchanges, Scope};
+use super::exchange::{Context, Exchanges};
 use super::notes::{GatewayChange, RequestNote, ViewOrigin};
 use super::parameters::GatewayParameters;
 use super::patience::CallerTry;
@@ -34,41 +34,41 @@
             GatewayEvent::Request { caller, head } => self.request(caller, head),
             GatewayEvent::CallerGone { caller } => {
                 self.awaiting.caller_gone(caller);
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.caller_gone(&mut scope, caller);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.caller_gone(&mut context, caller);
             }
-            GatewayEvent::AnswerDelayed { by } => self.exchanges.answer_delayed(by),
+            GatewayEvent::AnswerDelayed { by } => self.exchanges.observe_answer_delay(by),
             GatewayEvent::ConnectionOpened { connection, took } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.connection_opened(&mut scope, connection, took);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.connection_opened(&mut context, connection, took);
             }
             GatewayEvent::ConnectionLost { connection } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.connection_lost(&mut scope, connection);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.connection_lost(&mut context, connection);
             }
             GatewayEvent::Replied { attempt, reply } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.replied(&mut scope, attempt, reply);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.replied(&mut context, attempt, reply);
             }
             GatewayEvent::Failed { attempt, failure } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.failed(&mut scope, attempt, failure);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.failed(&mut context, attempt, failure);
             }
             GatewayEvent::SourceReplied { kind, read, result } => {
                 self.source_replied(kind, read, result);
             }
             GatewayEvent::PeerMessage { from, message } => self.peer_message(from, message),
             GatewayEvent::TaskNotSent { owner, slice } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.task_not_sent(&mut scope, owner, slice);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.task_not_sent(&mut context, owner, slice);
             }
             GatewayEvent::RelayUnusable { caller } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.relay_unusable(&mut scope, caller);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.relay_unusable(&mut context, caller);
             }
             GatewayEvent::PeerLinkDown { address } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.peer_lost(&mut scope, address);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.peer_link_lost(&mut context, address);
                 self.with_membership(|membership, context| membership.link_down(context, address));
             }
             GatewayEvent::TimerDue => self.timer_due(),
@@ -104,8 +104,8 @@
     }
 
     /// Splits the borrow of `self` into the in-flight requests and the state that they use.
-    pub(super) fn exchanges(&mut self) -> (&mut Exchanges, Scope<'_>) {
-        let scope = Scope {
+    pub(super) fn exchanges(&mut self) -> (&mut Exchanges, Context<'_>) {
+        let context = Context {
             now: self.now,
             random: &mut self.random,
             actions: &mut self.actions,
@@ -115,10 +115,10 @@
             slices: &mut self.slices,
             quarantine: &mut self.quarantine,
             own_address: self.own_address,
-            stale: self.now < self.stale_until,
+            messages_may_be_stale: self.now < self.stale_until,
             registry: self.registry.upto().unwrap_or_default(),
         };
-        (&mut self.exchanges, scope)
+        (&mut self.exchanges, context)
     }
 
     fn started(&mut self) {
@@ -156,18 +156,18 @@
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
         }
-        for request in self.awaiting.take_overdue(self.now) {
+        for request in self.awaiting.take_expired(self.now) {
             self.refuse_without_configuration(request);
         }
-        let (exchanges, mut scope) = self.exchanges();
-        exchanges.connections_proved(&mut scope);
-        exchanges.timer_due(&mut scope);
+        let (exchanges, mut context) = self.exchanges();
+        exchanges.end_connection_probation(&mut context);
+        exchanges.timer_due(&mut context);
     }
 
     /// Opens links to prospective slice owners by sending each a view digest.
     fn open_links(&mut self) {
         for owner in self.slices.links_to_open(self.now) {
-            self.slices.spoke_to(self.now, owner);
+            self.slices.message_sent(self.now, owner);
             let digest = send_digest(owner, self.view_age());
             self.actions.push_back(digest);
         }
@@ -183,7 +183,7 @@
             let configuration = Arc::clone(&staged.configuration);
             let mut routes = RouteTable::default();
             routes.apply(&configuration, &mut self.servers);
-            owned.extend(self.slices.divide_ahead(&routes, &self.servers));
+            owned.extend(self.slices.staged_ownership(&routes, &self.servers));
         }
         self.servers.set_ownership(&owned);
     }
@@ -285,29 +285,29 @@
     }
 
     pub(super) fn slice_message(&mut self, peer: SocketAddr, message: SliceMessage) {
-        let (exchanges, mut scope) = self.exchanges();
+        let (exchanges, mut context) = self.exchanges();
         match message {
-            SliceMessage::Ask { task, .. } if scope.stale => {
-                exchanges.refuse_slice(&mut scope, peer, task.slice);
+            SliceMessage::Ask { task, .. } if context.messages_may_be_stale => {
+                exchanges.refuse_slice(&mut context, peer, task.slice);
             }
             SliceMessage::Ask { task, request } => {
-                exchanges.serve_slice(&mut scope, peer, task, request);
+                exchanges.serve_slice(&mut context, peer, task, request);
             }
             SliceMessage::Report { slice, report } => {
-                exchanges.slice_reported(&mut scope, peer, slice, report, false);
+                exchanges.slice_reported(&mut context, peer, slice, report, false);
             }
             SliceMessage::ReportAndRequest { slice, report } => {
-                exchanges.slice_reported(&mut scope, peer, slice, report, true);
+                exchanges.slice_reported(&mut context, peer, slice, report, true);
             }
             SliceMessage::Grant {
                 slice,
                 attempts,
                 lent,
             } => {
-                exchanges.attempts_granted(&mut scope, peer, slice, attempts, &lent);
+                exchanges.attempts_granted(&mut context, peer, slice, attempts, &lent);
             }
             SliceMessage::Stop { slice, reason } => {
-                exchanges.slice_stopped(&mut scope, peer, slice, reason);
+                exchanges.slice_stopped(&mut context, peer, slice, reason);
             }
         }
     }
@@ -324,8 +324,8 @@
             self.refuse(caller, &head, refusal);
             return;
         };
-        let (exchanges, mut scope) = self.exchanges();
-        exchanges.start(&mut scope, caller, head, route, arrived);
+        let (exchanges, mut context) = self.exchanges();
+        exchanges.start(&mut context, caller, head, route, arrived);
     }
 
     fn refuse(&mut self, caller: CallerId, head: &RequestHead, refusal: Refusal) {
--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_viewing.rs
@@ -12,7 +12,7 @@
 
 impl Gateway {
     pub(super) fn peer_message(&mut self, from: PeerEndpoint, message: PeerMessage) {
-        self.slices.heard_from(self.now, from.address);
+        self.slices.message_received(self.now, from.address);
         match message {
             PeerMessage::Membership(message) => self.with_membership(|membership, context| {
                 membership.peer_message(context, from, message);
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -353,10 +353,10 @@
         &mut self,
         key: ServerKey,
         caller: CallerId,
-        leg: usize,
+        part: usize,
     ) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.waiting.remove(caller, leg);
+            server.waiting.remove(caller, part);
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -196,7 +196,7 @@
     /// Whether a server of the service has an open connection, or only other nodes own the service.
     pub(super) fn is_warm(&self, service: ServiceKey) -> bool {
         let ownership = self.services[service.0 as usize].ownership;
-        if ownership.is_some_and(|ownership| !ownership.own) {
+        if ownership.is_some_and(|ownership| !ownership.is_owner) {
             return true;
         }
         self.of_service(service)
--- a/crates/thornbridge-core/src/gateway/servers/queue.rs
+++ b/crates/thornbridge-core/src/gateway/servers/queue.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Waiting {
     pub(in crate::gateway) caller: CallerId,
-    pub(in crate::gateway) leg: usize,
+    pub(in crate::gateway) part: usize,
     /// Latest time of sending at which the answer is expected to be in time.
     pub(in crate::gateway) send_by: Timestamp,
     /// Deadline of the request.
@@ -50,8 +50,8 @@
         Some(self.parts.remove(index))
     }
 
-    pub(in crate::gateway) fn remove(&mut self, caller: CallerId, leg: usize) {
+    pub(in crate::gateway) fn remove(&mut self, caller: CallerId, part: usize) {
         self.parts
-            .retain(|part| (part.caller, part.leg) != (caller, leg));
+            .retain(|queued| (queued.caller, queued.part) != (caller, part));
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/subset.rs
+++ b/crates/thornbridge-core/src/gateway/servers/subset.rs
@@ -111,7 +111,7 @@
             .filter(|key| self.servers.get(key).is_some_and(|s| s.takes_requests()))
             .collect();
         let shares = match entry.ownership {
-            Some(ownership) => vec![u32::from(ownership.own); keys.len()],
+            Some(ownership) => vec![u32::from(ownership.is_owner); keys.len()],
             None => self.shares(now, &keys, limit),
         };
         for (key, share) in keys.iter().zip(shares) {
--- a/crates/thornbridge-core/src/gateway/slices/assignment.rs
+++ b/crates/thornbridge-core/src/gateway/slices/assignment.rs
@@ -10,10 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Owners of each group, as indices into `members`.
-pub(in crate::gateway) fn owners_of_groups(
-    members: &[SocketAddr],
-    groups: &[u64],
-) -> Vec<Vec<usize>> {
+pub(in crate::gateway) fn assign_owners(members: &[SocketAddr], groups: &[u64]) -> Vec<Vec<usize>> {
     let mut owners = vec![Vec::new(); groups.len()];
     if groups.is_empty() {
         return owners;
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -13,7 +13,7 @@
 mod plan;
 
 #[cfg(test)]
-pub(super) use assignment::owners_of_groups;
+pub(super) use assignment::assign_owners;
 pub(super) use assignment::rank;
 pub(super) use plan::{Group, Ownership, Plan};
 
@@ -132,11 +132,11 @@
         self.last_suspension = Duration::ZERO;
     }
 
-    pub(super) fn heard_from(&mut self, now: Timestamp, member: SocketAddr) {
+    pub(super) fn message_received(&mut self, now: Timestamp, member: SocketAddr) {
         self.last_received.insert(member, now);
     }
 
-    pub(super) fn spoke_to(&mut self, now: Timestamp, owner: SocketAddr) {
+    pub(super) fn message_sent(&mut self, now: Timestamp, owner: SocketAddr) {
         self.last_sent.insert(owner, now);
     }
 
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -1,7 +1,7 @@
 //! Division plan of a gather: its groups of shards and their owners.
 
 use super::Slices;
-use super::assignment::{owners_of_groups, rank};
+use super::assignment::{assign_owners, rank};
 use crate::gateway::budget::ServiceKey;
 use crate::gateway::routes::{ResolvedGather, ResolvedTarget, RouteKey, RouteTable};
 use crate::gateway::servers::{Servers, Sharer};
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) struct Ownership {
     /// Whether this node is an owner.
-    pub(in crate::gateway) own: bool,
+    pub(in crate::gateway) is_owner: bool,
     /// Number of owners.
     pub(in crate::gateway) owners: u32,
 }
@@ -62,7 +62,7 @@
     }
 
     /// Ownership of services under routes that are not in force yet.
-    pub(in crate::gateway) fn divide_ahead(
+    pub(in crate::gateway) fn staged_ownership(
         &self,
         routes: &RouteTable,
         servers: &Servers,
@@ -120,7 +120,7 @@
             .map(|range| group_hash(servers, &gather.shards[range.clone()]))
             .collect();
         let addresses: Vec<SocketAddr> = candidates.iter().map(|member| member.address).collect();
-        let owners = owners_of_groups(&addresses, &hashes);
+        let owners = assign_owners(&addresses, &hashes);
         let groups = ranges
             .into_iter()
             .zip(owners)
@@ -184,7 +184,7 @@
     ) {
         for group in groups {
             let ownership = Ownership {
-                own: group.owners.contains(&self.own_address),
+                is_owner: group.owners.contains(&self.own_address),
                 owners: group.owners.len() as u32,
             };
             for shard in &gather.shards[group.shards.clone()] {
--- a/crates/thornbridge-core/src/gateway/tests/divisions.rs
+++ b/crates/thornbridge-core/src/gateway/tests/divisions.rs
@@ -2,7 +2,7 @@
 
 use super::support::{Harness, answer, gather, millis, peer, route};
 use crate::driver_action::CallerId;
-use crate::gateway::slices::owners_of_groups;
+use crate::gateway::slices::assign_owners;
 use crate::gateway::{GatewayAnswer, GatewayEvent};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -40,7 +40,7 @@
     fn groups_have_equally_many_owners(members in 1..300_usize, groups in 1..20_u64) {
         let members = addresses(members);
         let groups: Vec<u64> = (0..groups).map(|group| group * 7_919).collect();
-        let owners = owners_of_groups(&members, &groups);
+        let owners = assign_owners(&members, &groups);
         let counts: Vec<usize> = owners.iter().map(Vec::len).collect();
         prop_assert_eq!(counts.iter().sum::<usize>(), members.len());
         let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
@@ -54,7 +54,7 @@
         rotated.rotate_left(rotation % members.len());
         let groups: Vec<u64> = (0..13).map(|group| group * 104_729).collect();
         let owner_sets = |members: &[SocketAddr]| -> Vec<BTreeSet<SocketAddr>> {
-            let owners = owners_of_groups(members, &groups);
+            let owners = assign_owners(members, &groups);
             let sets = owners.iter().map(|group| group.iter().map(|owner| members[*owner]));
             sets.map(Iterator::collect).collect()
         };
--- a/crates/thornbridge-core/src/gateway/tests/queues.rs
+++ b/crates/thornbridge-core/src/gateway/tests/queues.rs
@@ -13,7 +13,7 @@
 fn part(caller: u64, send_by: u64, ends: u64) -> Waiting {
     Waiting {
         caller: CallerId(caller),
-        leg: 0,
+        part: 0,
         send_by: at(send_by),
         ends: at(ends),
     }
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/viewing.rs
@@ -330,8 +330,8 @@
     /// Moves requests that wait for a leaving server to other servers.
     pub(super) fn reassign_waiting_requests(&mut self) {
         for server in self.servers.leaving_with_waiting() {
-            let (exchanges, mut scope) = self.exchanges();
-            exchanges.server_left(&mut scope, server);
+            let (exchanges, mut context) = self.exchanges();
+            exchanges.server_unavailable(&mut context, server);
         }
     }
 
