--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -179,7 +179,7 @@
             service: &plan.service,
             request: waiter.request,
             deadline: waiter.deadline,
-            predicted: None,
+            predicted_run_time: None,
         };
         let admission = resources.limits.admit(context, asked);
         let action = OwnedAction {
--- a/crates/thornbridge-core/src/action/running.rs
+++ b/crates/thornbridge-core/src/action/running.rs
@@ -5,7 +5,7 @@
 use super::owned::Phase;
 use crate::context::Context;
 use crate::event::AttemptFailure;
-use crate::limits::{LoadSignal, RequestEnd};
+use crate::limits::{LoadSignal, RequestOutcome};
 use crate::resources::Resources;
 use crate::routing::{AttemptOwner, FinishedAttempt};
 use std::sync::Arc;
@@ -151,7 +151,7 @@
         let Some(action) = self.owned.get(&key) else {
             return false;
         };
-        let budget = resources.limits.extra_load(&action.plan.service);
+        let budget = resources.limits.extra_load_budget(&action.plan.service);
         budget.is_some_and(|budget| budget.try_take(crate::limits::ExtraAttempt::Retry))
     }
 
@@ -203,13 +203,13 @@
             _ => std::time::Duration::ZERO,
         };
         let ran = matches!(action.phase, Phase::Running { .. });
-        let end = RequestEnd {
+        let outcome = RequestOutcome {
             latency,
-            half_answered: Some(latency),
+            half_response_latency: Some(latency),
             signal: if ran { signal } else { LoadSignal::None },
         };
         let service = action.plan.service.clone();
-        resources.finished(context, &service, end);
+        resources.request_finished(context, &service, outcome);
     }
 }
 
--- a/crates/thornbridge-core/src/limits/extra_load.rs
+++ b/crates/thornbridge-core/src/limits/extra_load.rs
@@ -106,7 +106,7 @@
     }
 
     /// Counts a first attempt and earns its share of a token.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.counters.first_attempts += 1;
         let maximum = u64::from(self.parameters.maximum_tokens) * MICROTOKENS_PER_TOKEN;
         self.available_microtokens =
@@ -115,7 +115,7 @@
 
     /// Counts an attempt that replaces one that ended with `NotSent`. No token is needed, since the
     /// replaced attempt never reached a back end.
-    pub fn replace_unsent(&mut self) {
+    pub fn record_replacement(&mut self) {
         self.counters.replacements += 1;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Counts a reply; `shed` if the back end rejected the attempt because of overload.
-    pub fn replied(&mut self, shed: bool) {
+    pub fn record_reply(&mut self, shed: bool) {
         let weight = 1.0 / self.parameters.shed_memory_replies.max(1.0);
         let sample = if shed { 1.0 } else { 0.0 };
         self.shed_share += (sample - self.shed_share) * weight;
--- a/crates/thornbridge-core/src/limits/mod.rs
+++ b/crates/thornbridge-core/src/limits/mod.rs
@@ -1,7 +1,7 @@
 //! Admission control of callers' requests, and the budget of extra attempts.
 //!
 //! [`Limits::admit`] admits, queues or refuses a request. The end of an admitted request is
-//! reported to [`Limits::finished`]. Queued requests that may now run, or that expired, are
+//! reported to [`Limits::request_finished`]. Queued requests that may now run, or that expired, are
 //! returned as a [`Release`]. The query and action engines send and answer.
 
 mod concurrency;
@@ -92,15 +92,15 @@
     /// Deadline of the answer.
     pub deadline: Timestamp,
     /// Predicted run time; defaults to the service's expected latency.
-    pub predicted: Option<Duration>,
+    pub predicted_run_time: Option<Duration>,
 }
 
 /// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The request runs now; call [`Limits::finished`] when it ends.
+    /// The request runs now; call [`Limits::request_finished`] when it ends.
     Run,
-    /// The request is queued, until a [`Release`] returns it or [`Limits::withdraw`] removes it.
+    /// The request is queued, until a [`Release`] returns it or [`Limits::cancel_queued`] removes it.
     Queued,
     /// The request is refused.
     Refuse(AdmissionRefusal),
@@ -118,7 +118,7 @@
 /// Queued requests to run or refuse.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Release {
-    /// Requests to run now; call [`Limits::finished`] for each.
+    /// Requests to run now; call [`Limits::request_finished`] for each.
     pub run: Vec<RequestId>,
     /// Requests to refuse now; none was run.
     pub refuse: Vec<(RequestId, AdmissionRefusal)>,
@@ -139,12 +139,12 @@
 
 /// Outcome of an admitted request, input of the adaptive limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RequestEnd {
+pub struct RequestOutcome {
     /// Time from the start to the answer.
     pub latency: Duration,
     /// Time until half of the shards had replied; absent if fewer replied. Depends on load, but
     /// hardly on single stragglers. The total latency for an action.
-    pub half_answered: Option<Duration>,
+    pub half_response_latency: Option<Duration>,
     /// Load signal for the limit.
     pub signal: LoadSignal,
 }
@@ -236,15 +236,15 @@
     }
 
     /// Records the end of an admitted request and releases queued ones.
-    pub fn finished(
+    pub fn request_finished(
         &mut self,
         context: &Context<'_>,
         service: &ServiceName,
-        end: RequestEnd,
+        outcome: RequestOutcome,
     ) -> Release {
         if let Some(admission) = self.services.get_mut(service) {
             self.running = self.running.saturating_sub(1);
-            if admission.finished(context.now, end) {
+            if admission.request_finished(context.now, outcome) {
                 self.counters.limit_lowered += 1;
             }
         }
@@ -255,19 +255,19 @@
     }
 
     /// Removes a request from the queue. Returns whether it was queued.
-    pub fn withdraw(&mut self, service: &ServiceName, request: RequestId) -> bool {
-        let withdrawn = self
+    pub fn cancel_queued(&mut self, service: &ServiceName, request: RequestId) -> bool {
+        let cancelled = self
             .services
             .get_mut(service)
-            .is_some_and(|admission| admission.withdraw(request));
-        if withdrawn {
+            .is_some_and(|admission| admission.cancel_queued(request));
+        if cancelled {
             self.counters.withdrawn += 1;
         }
-        withdrawn
+        cancelled
     }
 
     /// Budget of extra attempts of a service.
-    pub fn extra_load(&mut self, service: &ServiceName) -> Option<&mut ExtraLoadBudget> {
+    pub fn extra_load_budget(&mut self, service: &ServiceName) -> Option<&mut ExtraLoadBudget> {
         self.services
             .get_mut(service)
             .map(|admission| &mut admission.extra_load)
--- a/crates/thornbridge-core/src/limits/queue.rs
+++ b/crates/thornbridge-core/src/limits/queue.rs
@@ -38,7 +38,7 @@
     /// Deadline of the answer.
     pub deadline: Timestamp,
     /// Predicted run time.
-    pub predicted: Duration,
+    pub predicted_run_time: Duration,
     /// Arrival number, increasing over all services.
     pub arrival: u64,
 }
@@ -126,7 +126,7 @@
         let rank = match self.order {
             QueueOrder::FirstCome => Duration::ZERO,
             QueueOrder::EarliestDeadline => queued.deadline.since_epoch(),
-            QueueOrder::ShortestPredictedTime => queued.predicted,
+            QueueOrder::ShortestPredictedTime => queued.predicted_run_time,
         };
         QueueKey {
             rank,
--- a/crates/thornbridge-core/src/limits/service.rs
+++ b/crates/thornbridge-core/src/limits/service.rs
@@ -4,7 +4,7 @@
 use super::extra_load::ExtraLoadBudget;
 use super::queue::{QueueKey, QueuedRequest, RequestQueue};
 use super::{
-    AdmissionRefusal, AdmissionRequest, LimitCounters, LimitParameters, LoadSignal, RequestEnd,
+    AdmissionRefusal, AdmissionRequest, LimitCounters, LimitParameters, LoadSignal, RequestOutcome,
 };
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -162,22 +162,22 @@
         self.queue.pop()
     }
 
-    pub(super) fn withdraw(&mut self, request: RequestId) -> bool {
+    pub(super) fn cancel_queued(&mut self, request: RequestId) -> bool {
         self.queue.remove(request)
     }
 
     /// Records the end of a request. Returns whether the limit was lowered.
-    pub(super) fn finished(&mut self, now: Timestamp, end: RequestEnd) -> bool {
+    pub(super) fn request_finished(&mut self, now: Timestamp, outcome: RequestOutcome) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if end.signal == LoadSignal::None {
+        if outcome.signal == LoadSignal::None {
             return false;
         }
         let old = self.expected_latency.as_secs_f64();
-        let new = old + (end.latency.as_secs_f64() - old) * LATENCY_EWMA_WEIGHT;
+        let new = old + (outcome.latency.as_secs_f64() - old) * LATENCY_EWMA_WEIGHT;
         self.expected_latency = Duration::from_secs_f64(new);
         let sample = LimitSample {
-            latency: end.half_answered,
-            overloaded: end.signal == LoadSignal::Overloaded,
+            latency: outcome.half_response_latency,
+            overloaded: outcome.signal == LoadSignal::Overloaded,
         };
         self.limit.record(now, sample)
     }
@@ -251,15 +251,17 @@
         arrival: u64,
         least_useful_share: f64,
     ) -> QueuedRequest {
-        let predicted = request.predicted.unwrap_or(self.expected_latency);
+        let predicted_run_time = request.predicted_run_time.unwrap_or(self.expected_latency);
         let time_left = request.deadline.since(now);
         // At most half of the time left, so that a long prediction does not expire a new request.
-        let needed = predicted.mul_f64(least_useful_share).min(time_left / 2);
+        let needed = predicted_run_time
+            .mul_f64(least_useful_share)
+            .min(time_left / 2);
         QueuedRequest {
             request: request.request,
             latest_start: request.deadline - needed,
             deadline: request.deadline,
-            predicted,
+            predicted_run_time,
             arrival,
         }
     }
--- a/crates/thornbridge-core/src/limits/tests/admission.rs
+++ b/crates/thornbridge-core/src/limits/tests/admission.rs
@@ -106,7 +106,7 @@
         millis: u64,
         overloaded: bool,
     },
-    Withdraw {
+    Cancel {
         which: usize,
     },
     Advance {
@@ -124,7 +124,7 @@
             .prop_map(|(service, deadline)| Step::Arrive { service, deadline }),
         4 => (any::<usize>(), 1..50u64, any::<bool>())
             .prop_map(|(which, millis, overloaded)| Step::Finish { which, millis, overloaded }),
-        1 => any::<usize>().prop_map(|which| Step::Withdraw { which }),
+        1 => any::<usize>().prop_map(|which| Step::Cancel { which }),
         3 => (0..30_000u64).prop_map(|micros| Step::Advance { micros }),
         1 => (1..5u32, 0..10u32)
             .prop_map(|(in_flight, queued)| Step::Reconfigure { in_flight, queued }),
@@ -178,13 +178,16 @@
                     self.finish(running[which % running.len()], millis, overloaded);
                 }
             }
-            Step::Withdraw { which } => {
+            Step::Cancel { which } => {
                 let queued_requests: Vec<RequestId> =
                     self.queued_requests.keys().copied().collect();
                 if !queued_requests.is_empty() {
                     let request = queued_requests[which % queued_requests.len()];
                     let (service, _) = self.queued_requests.remove(&request).unwrap();
-                    assert!(self.limits.withdraw(&SERVICES[service].into(), request));
+                    assert!(
+                        self.limits
+                            .cancel_queued(&SERVICES[service].into(), request)
+                    );
                 }
             }
             Step::Advance { micros } => self.advance(Duration::from_micros(micros)),
@@ -207,7 +210,7 @@
             service: &name,
             request: id,
             deadline,
-            predicted: None,
+            predicted_run_time: None,
         };
         match self.limits.admit(&self.clock.context(), admission) {
             Admission::Run => {
@@ -230,9 +233,9 @@
     fn finish(&mut self, request: RequestId, millis: u64, overloaded: bool) {
         let service = self.running.remove(&request).unwrap();
         let latency = Duration::from_millis(millis);
-        let end = RequestEnd {
+        let outcome = RequestOutcome {
             latency,
-            half_answered: Some(latency),
+            half_response_latency: Some(latency),
             signal: if overloaded {
                 LoadSignal::Overloaded
             } else {
@@ -240,7 +243,9 @@
             },
         };
         let name = SERVICES[service].into();
-        let release = self.limits.finished(&self.clock.context(), &name, end);
+        let release = self
+            .limits
+            .request_finished(&self.clock.context(), &name, outcome);
         self.released(release);
     }
 
--- a/crates/thornbridge-core/src/limits/tests/orders.rs
+++ b/crates/thornbridge-core/src/limits/tests/orders.rs
@@ -28,7 +28,7 @@
         request: request(sequence),
         latest_start: at(deadline),
         deadline: at(deadline),
-        predicted: Duration::from_millis(predicted),
+        predicted_run_time: Duration::from_millis(predicted),
         arrival: sequence,
     }
 }
@@ -60,7 +60,7 @@
         let mut extra_attempts = 0u32;
         for step in steps {
             match step {
-                0 | 1 => { budget.first_attempt(); first_attempts += 1; }
+                0 | 1 => { budget.record_first_attempt(); first_attempts += 1; }
                 2 => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Hedge)),
                 _ => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Retry)),
             }
@@ -102,12 +102,12 @@
 #[test]
 fn shed_replies_deny_extra_attempts() {
     let mut budget = ExtraLoadBudget::new(ExtraLoadParameters::default(), 1.0);
-    (0..100).for_each(|_| budget.first_attempt());
+    (0..100).for_each(|_| budget.record_first_attempt());
     assert!(budget.try_take(ExtraAttempt::Retry));
-    (0..20).for_each(|_| budget.replied(true));
+    (0..20).for_each(|_| budget.record_reply(true));
     assert!(!budget.try_take(ExtraAttempt::Retry));
     assert!(!budget.try_take(ExtraAttempt::Hedge));
     assert_eq!(budget.counters().denied_shedding, 2);
-    (0..200).for_each(|_| budget.replied(false));
+    (0..200).for_each(|_| budget.record_reply(false));
     assert!(budget.try_take(ExtraAttempt::Hedge));
 }
--- a/crates/thornbridge-core/src/limits/tests/overload.rs
+++ b/crates/thornbridge-core/src/limits/tests/overload.rs
@@ -71,7 +71,7 @@
             service: &name,
             request: id,
             deadline: timestamp(deadline),
-            predicted: None,
+            predicted_run_time: None,
         };
         let (limits, clock) = &mut self.nodes[node];
         clock.now = timestamp(now);
@@ -124,14 +124,14 @@
         self.in_time += u64::from(in_time);
         self.late += u64::from(!in_time);
         let latency = Duration::from_micros(now - started);
-        let end = RequestEnd {
+        let outcome = RequestOutcome {
             latency,
-            half_answered: Some(latency),
+            half_response_latency: Some(latency),
             signal: LoadSignal::Normal,
         };
         let (limits, clock) = &mut self.nodes[node];
         clock.now = timestamp(now);
-        let release = limits.finished(&clock.context(), &SERVICES[0].into(), end);
+        let release = limits.request_finished(&clock.context(), &SERVICES[0].into(), outcome);
         self.released(node, release, now);
     }
 
@@ -227,7 +227,7 @@
         service: &name,
         request: request(sequence),
         deadline: now + Duration::from_millis(60),
-        predicted: None,
+        predicted_run_time: None,
     };
     // The initial expected latency is half of the target of 20 ms. With two requests running, one
     // starts every 5 ms, so the fifth queued request would wait for more than the target.
@@ -260,12 +260,12 @@
         clock.now = clock.now + Duration::from_millis(10);
         let latency = Duration::from_millis(10);
         for _ in 0..std::mem::take(&mut running) {
-            let end = RequestEnd {
+            let outcome = RequestOutcome {
                 latency,
-                half_answered: Some(latency),
+                half_response_latency: Some(latency),
                 signal: LoadSignal::Normal,
             };
-            let release = limits.finished(&clock.context(), &name, end);
+            let release = limits.request_finished(&clock.context(), &name, outcome);
             assert!(release.refuse.is_empty());
             running += release.run.len() as u32;
         }
--- a/crates/thornbridge-core/src/query/answering.rs
+++ b/crates/thornbridge-core/src/query/answering.rs
@@ -5,7 +5,7 @@
 use super::planner::QueryPlan;
 use crate::context::Context;
 use crate::driver_action::{Action, CallerId, Observation};
-use crate::limits::{LoadSignal, RequestEnd};
+use crate::limits::{LoadSignal, RequestOutcome};
 use crate::resources::Resources;
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -39,15 +39,15 @@
         };
         let service = query.plan.service.service.clone();
         let Some(mut gather) = query.gather else {
-            resources.limits.withdraw(&service, id);
+            resources.limits.cancel_queued(&service, id);
             self.work.counters.abandoned += 1;
             return;
         };
         let may_have_run = gather.may_have_run();
         let mut scatter = self.work.scatter(context, resources, id, &query.plan);
         scatter.cancel_all(&mut gather);
-        let end = request_end(context.now, query.started, &gather, ending);
-        resources.finished(context, &service, end);
+        let outcome = request_outcome(context.now, query.started, &gather, ending);
+        resources.request_finished(context, &service, outcome);
         match ending {
             Ending::Answer => self.answer(context, id, query.caller, &query.plan, gather),
             Ending::AnswerEarly => {
@@ -116,16 +116,21 @@
     }
 }
 
-fn request_end(now: Timestamp, started: Timestamp, gather: &Gather, ending: Ending) -> RequestEnd {
-    let half_answered = gather.half_answered().map(|at| at.since(started));
+fn request_outcome(
+    now: Timestamp,
+    started: Timestamp,
+    gather: &Gather,
+    ending: Ending,
+) -> RequestOutcome {
+    let half_response_latency = gather.half_answered().map(|at| at.since(started));
     let signal = match ending {
         Ending::CallerGone => LoadSignal::None,
-        _ if gather.overloaded() || half_answered.is_none() => LoadSignal::Overloaded,
+        _ if gather.overloaded() || half_response_latency.is_none() => LoadSignal::Overloaded,
         _ => LoadSignal::Normal,
     };
-    RequestEnd {
+    RequestOutcome {
         latency: now.since(started),
-        half_answered,
+        half_response_latency,
         signal,
     }
 }
--- a/crates/thornbridge-core/src/query/mod.rs
+++ b/crates/thornbridge-core/src/query/mod.rs
@@ -165,7 +165,7 @@
             service: &service,
             request: id,
             deadline: plan.rules.ends,
-            predicted: None,
+            predicted_run_time: None,
         };
         let admission = resources.limits.admit(context, asked);
         let query = Query {
--- a/crates/thornbridge-core/src/query/scatter.rs
+++ b/crates/thornbridge-core/src/query/scatter.rs
@@ -43,8 +43,9 @@
             match self.choose(shard, ReplicaSet::default()) {
                 Some(chosen) => {
                     self.counters.first_attempts += 1;
-                    if let Some(budget) = self.limits.extra_load(&self.plan.service.service) {
-                        budget.first_attempt();
+                    if let Some(budget) = self.limits.extra_load_budget(&self.plan.service.service)
+                    {
+                        budget.record_first_attempt();
                     }
                     self.send(gather, shard, chosen, AttemptKind::First);
                 }
@@ -62,8 +63,8 @@
         end: AttemptEnd,
     ) {
         let shed = matches!(end, AttemptEnd::Shed(_));
-        if let Some(budget) = self.limits.extra_load(&self.plan.service.service) {
-            budget.replied(shed);
+        if let Some(budget) = self.limits.extra_load_budget(&self.plan.service.service) {
+            budget.record_reply(shed);
         }
         match end {
             AttemptEnd::Hits(hits) => {
@@ -121,9 +122,9 @@
         };
         self.counters.resends += 1;
         if cause == NotRun::NotSent
-            && let Some(budget) = self.limits.extra_load(&self.plan.service.service)
+            && let Some(budget) = self.limits.extra_load_budget(&self.plan.service.service)
         {
-            budget.replace_unsent();
+            budget.record_replacement();
         }
         self.send(gather, shard, chosen, AttemptKind::Resend);
     }
@@ -201,7 +202,7 @@
         if matches!(self.parameters.retry, RetryPolicy::Fixed { .. }) {
             return extra == ExtraAttempt::Retry;
         }
-        let budget = self.limits.extra_load(&self.plan.service.service);
+        let budget = self.limits.extra_load_budget(&self.plan.service.service);
         let allowed = budget.is_some_and(|budget| budget.try_take(extra));
         if !allowed {
             self.counters.budget_waits += 1;
--- a/crates/thornbridge-core/src/resources.rs
+++ b/crates/thornbridge-core/src/resources.rs
@@ -1,7 +1,7 @@
 //! What the query and the action engine share.
 
 use crate::context::Context;
-use crate::limits::{Limits, Release, RequestEnd};
+use crate::limits::{Limits, Release, RequestOutcome};
 use crate::routing::Router;
 use thornbridge_proto::ServiceName;
 
@@ -17,8 +17,13 @@
 
 impl Resources<'_> {
     /// A request that ran has ended; others may run now.
-    pub fn finished(&mut self, context: &Context<'_>, service: &ServiceName, end: RequestEnd) {
-        let release = self.limits.finished(context, service, end);
+    pub fn request_finished(
+        &mut self,
+        context: &Context<'_>,
+        service: &ServiceName,
+        outcome: RequestOutcome,
+    ) {
+        let release = self.limits.request_finished(context, service, outcome);
         self.released.extend(release);
     }
 }
