--- a/crates/thornbridge-core/src/action/claiming.rs
+++ b/crates/thornbridge-core/src/action/claiming.rs
@@ -62,7 +62,7 @@
             return members.to_vec();
         };
         let takes_work = |member: &&PeerEndpoint| {
-            view.taking_work()
+            view.accepting_work()
                 .any(|known| known.endpoint.node == member.node)
         };
         let fit: Vec<PeerEndpoint> = members.iter().filter(takes_work).copied().collect();
--- a/crates/thornbridge-core/src/action/decider.rs
+++ b/crates/thornbridge-core/src/action/decider.rs
@@ -287,7 +287,8 @@
 
 /// Whether the loss of one member would be the loss of the group, and other nodes could join.
 fn is_frail(view: &MemberView, group: &ClaimGroup) -> bool {
-    group.members.len() < SMALLEST_SAFE_GROUP && view.taking_work().count() >= SMALLEST_SAFE_GROUP
+    group.members.len() < SMALLEST_SAFE_GROUP
+        && view.accepting_work().count() >= SMALLEST_SAFE_GROUP
 }
 
 /// Whether a member announced that it leaves: it waits to be replaced.
--- a/crates/thornbridge-core/src/action/group.rs
+++ b/crates/thornbridge-core/src/action/group.rs
@@ -26,7 +26,7 @@
     present: &[PeerEndpoint],
     most: usize,
 ) -> Vec<PeerEndpoint> {
-    let taking: Vec<_> = view.taking_work().collect();
+    let taking: Vec<_> = view.accepting_work().collect();
     let most = most.min(taking.len());
     let wanted = if most % 2 == 0 {
         most.saturating_sub(1)
@@ -58,7 +58,7 @@
 /// has grown so that more may be lost.
 pub(super) fn needs_change(view: &MemberView, group: &ClaimGroup, most: usize) -> bool {
     let takes_work = |member: &PeerEndpoint| {
-        view.taking_work()
+        view.accepting_work()
             .any(|known| known.endpoint.node == member.node)
     };
     let all_there = group.members.iter().all(takes_work);
--- a/crates/thornbridge-core/src/action/leaving.rs
+++ b/crates/thornbridge-core/src/action/leaving.rs
@@ -62,8 +62,12 @@
             return true;
         };
         let own = self.outbox.own().node;
-        let stays =
-            |node| node != own && view.taking_work().any(|known| known.endpoint.node == node);
+        let stays = |node| {
+            node != own
+                && view
+                    .accepting_work()
+                    .any(|known| known.endpoint.node == node)
+        };
         let staying = group.members.iter().filter(|it| stays(it.node)).count();
         let decided = self.member.deciding() == Some(group.epoch);
         decided && staying >= majority(group.members.len())
--- a/crates/thornbridge-core/src/action/tests/group_choice.rs
+++ b/crates/thornbridge-core/src/action/tests/group_choice.rs
@@ -57,7 +57,7 @@
             .map(|node| member(node, 0, MemberState::Alive).endpoint)
             .collect();
         let chosen = choose_members(&view, &present, 5);
-        let taking: BTreeSet<NodeId> = view.taking_work().map(|it| it.endpoint.node).collect();
+        let taking: BTreeSet<NodeId> = view.accepting_work().map(|it| it.endpoint.node).collect();
         prop_assert_eq!(chosen.len() % 2, 1);
         prop_assert!(chosen.len() <= 5 && chosen.len() + 1 >= taking.len().min(5));
         prop_assert!(chosen.iter().all(|it| taking.contains(&it.node)));
--- a/crates/thornbridge-core/src/control.rs
+++ b/crates/thornbridge-core/src/control.rs
@@ -126,7 +126,7 @@
         if self.machine_list == Some(operation) {
             self.machine_list = None;
             if let Ok(PlatformResponse::Machines(machines)) = result {
-                self.membership.machines_listed(context, machines);
+                self.membership.machine_list_received(context, machines);
             }
             return;
         }
@@ -182,7 +182,7 @@
 
     /// A node that finds nobody reads the platform's list of machines once in a while.
     fn ask_for_machines(&mut self, context: &mut Context<'_>) {
-        if !self.membership.wants_machines(context) {
+        if !self.membership.machine_list_due(context) {
             return;
         }
         let operation = self.next_operation();
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -135,7 +135,7 @@
             membership.timer_due(context);
             // A gateway has no machine list to request. The call reschedules the membership timer,
             // which would otherwise stay due.
-            membership.wants_machines(context);
+            membership.machine_list_due(context);
         });
         self.read_sources();
         let own = self.view_age();
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -57,7 +57,7 @@
         let endpoints = view.members().iter().map(|member| member.endpoint);
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
-        let sharers: Vec<Sharer> = view.taking_work().map(sharer).collect();
+        let sharers: Vec<Sharer> = view.accepting_work().map(sharer).collect();
         let position = sharers.iter().position(|member| member.address == own);
         let rank = position.unwrap_or(sharers.len());
         self.freshness.set_rank(rank);
--- a/crates/thornbridge-core/src/health/assignment.rs
+++ b/crates/thornbridge-core/src/health/assignment.rs
@@ -15,7 +15,7 @@
 pub struct Observers {
     own: NodeId,
     own_region: Option<RegionName>,
-    taking_work: bool,
+    accepting_work: bool,
     /// Nodes of this node's region that take new work, including this node.
     region_nodes: Vec<NodeId>,
     /// Region of each member.
@@ -29,7 +29,7 @@
     pub fn new(view: &MemberView) -> Self {
         let own = view.own();
         let region_nodes: Vec<NodeId> = view
-            .taking_work()
+            .accepting_work()
             .filter(|member| member.region == own.region)
             .map(|member| member.endpoint.node)
             .collect();
@@ -37,7 +37,7 @@
         Self {
             own: own.endpoint.node,
             own_region: Some(own.region.clone()),
-            taking_work: region_nodes.contains(&own.endpoint.node),
+            accepting_work: region_nodes.contains(&own.endpoint.node),
             region_nodes,
             regions: members
                 .clone()
@@ -61,7 +61,7 @@
 
     /// Whether this node is one of the `count` nodes of its region that probe a back end.
     pub fn is_assigned(&self, back_end: BackEndKey, count: usize) -> bool {
-        if !self.taking_work {
+        if !self.accepting_work {
             return false;
         }
         let own = weight(self.own, back_end);
--- a/crates/thornbridge-core/src/health/dissemination.rs
+++ b/crates/thornbridge-core/src/health/dissemination.rs
@@ -143,7 +143,7 @@
     /// Sends all facts to a new node, starting with those that make back ends unavailable. Not
     /// answered while this node is bootstrapping itself.
     fn answer_request(&mut self, context: &mut Context<'_>, from: PeerEndpoint) {
-        if !self.is_informed() {
+        if !self.is_bootstrapped() {
             return;
         }
         let monitored = self.back_ends.values();
--- a/crates/thornbridge-core/src/health/mod.rs
+++ b/crates/thornbridge-core/src/health/mod.rs
@@ -145,7 +145,7 @@
     }
 
     /// Whether the bootstrap has ended.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_bootstrapped(&self) -> bool {
         self.bootstrap == Bootstrap::Done
     }
 
--- a/crates/thornbridge-core/src/health/probing.rs
+++ b/crates/thornbridge-core/src/health/probing.rs
@@ -142,7 +142,7 @@
     }
 
     /// Applies what routing observed in a reply or failure.
-    pub fn observed(&mut self, context: &mut Context<'_>, record: &HealthRecord) {
+    pub fn apply_observation(&mut self, context: &mut Context<'_>, record: &HealthRecord) {
         let key = facts::key_of(&record.back_end);
         let Some(monitored) = self.back_ends.get_mut(&key) else {
             return;
--- a/crates/thornbridge-core/src/lease/ranking.rs
+++ b/crates/thornbridge-core/src/lease/ranking.rs
@@ -16,7 +16,7 @@
 pub fn reader_ranking(view: &MemberView, count: usize) -> Vec<PeerEndpoint> {
     let region = &view.own().region;
     let mut zones: BTreeMap<&ZoneName, Vec<(u64, PeerEndpoint)>> = BTreeMap::new();
-    for member in view.taking_work() {
+    for member in view.accepting_work() {
         if member.region == *region {
             let score = score(region, member.endpoint.node);
             let zone = zones.entry(&member.zone).or_default();
--- a/crates/thornbridge-core/src/membership/mod.rs
+++ b/crates/thornbridge-core/src/membership/mod.rs
@@ -129,7 +129,7 @@
 
     /// Whether to request the platform's list of machines now; call after each event. The list may be
     /// stale, so it only provides addresses to join through.
-    pub fn wants_machines(&mut self, context: &mut Context<'_>) -> bool {
+    pub fn machine_list_due(&mut self, context: &mut Context<'_>) -> bool {
         let random = &mut *context.random;
         let wanted = self
             .joining
@@ -139,7 +139,7 @@
     }
 
     /// Handles the platform's list of machines.
-    pub fn machines_listed(&mut self, context: &mut Context<'_>, machines: &[Machine]) {
+    pub fn machine_list_received(&mut self, context: &mut Context<'_>, machines: &[Machine]) {
         let not_leaving = machines.iter().filter(|machine| !machine.leaving);
         let addresses = not_leaving.map(|machine| machine.peer_address);
         self.joining.set_discovered(context.now, addresses);
--- a/crates/thornbridge-core/src/membership/view.rs
+++ b/crates/thornbridge-core/src/membership/view.rs
@@ -48,7 +48,7 @@
     }
 
     /// Members that take new work: alive or suspected, not leaving.
-    pub fn taking_work(&self) -> impl Iterator<Item = &MemberRecord> {
+    pub fn accepting_work(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members
             .iter()
             .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -361,7 +361,7 @@
                 self.queries.health_learnt(&record);
             }
             Signal::BackEndObserved(record) => {
-                self.control.health.observed(&mut context, &record);
+                self.control.health.apply_observation(&mut context, &record);
             }
         }
     }
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -61,7 +61,7 @@
             NodeReadiness::Leaving
         } else if self.control.configuration.in_force().is_none() {
             NodeReadiness::NoConfiguration
-        } else if !self.control.health.is_informed() {
+        } else if !self.control.health.is_bootstrapped() {
             NodeReadiness::LearningHealth
         } else {
             NodeReadiness::Ready
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -74,7 +74,7 @@
         self.lost.extend(gone);
         self.forget_lost(parameters, now);
         let nodes: Vec<SubsetNode> = view
-            .taking_work()
+            .accepting_work()
             .map(|member| SubsetNode::new(member.endpoint.node, member.zone.clone()))
             .collect();
         let same = nodes.len() == self.nodes.len()
--- a/crates/thornbridge-core/tests/members/cluster.rs
+++ b/crates/thornbridge-core/tests/members/cluster.rs
@@ -341,7 +341,7 @@
             }
             Happening::Machines(host, machines) => {
                 self.drive(host, |parts, context| {
-                    parts.membership.machines_listed(context, &machines);
+                    parts.membership.machine_list_received(context, &machines);
                 });
             }
             Happening::Probed(host, back_end, Some(report)) => {
@@ -495,6 +495,6 @@
 
 fn timer_due(parts: &mut Parts, context: &mut Context<'_>) {
     parts.membership.timer_due(context);
-    parts.asks_for_machines |= parts.membership.wants_machines(context);
+    parts.asks_for_machines |= parts.membership.machine_list_due(context);
     parts.health.timer_due(context);
 }
--- a/crates/thornbridge-core/tests/members/health.rs
+++ b/crates/thornbridge-core/tests/members/health.rs
@@ -57,7 +57,9 @@
     let id = back_end(7);
     let mut seen = cluster.believed(3, &id);
     seen.readiness = Readiness::Leaving;
-    cluster.drive(3, |parts, context| parts.health.observed(context, &seen));
+    cluster.drive(3, |parts, context| {
+        parts.health.apply_observation(context, &seen)
+    });
     let spread = cluster.run_until(seconds(1.0), |cluster| cluster.all_believe(&id, leaving));
     assert!(spread.is_some(), "a reply's header is news for all");
     cluster.run(seconds(8.0));
@@ -184,7 +186,7 @@
         say(&mut cluster, 30, Readiness::Leaving);
         cluster.run(seconds(4.0));
         let new = cluster.start(NODES, 0, &[0, 1]);
-        let informed = |cluster: &Cluster| cluster.processes[new].parts.health.is_informed();
+        let informed = |cluster: &Cluster| cluster.processes[new].parts.health.is_bootstrapped();
         assert!(!informed(&cluster), "nobody has told it anything yet");
         let took = cluster.run_until(seconds(1.2), informed);
         assert!(took.is_some(), "seed {seed}: it must not wait for ever");
@@ -200,9 +202,9 @@
     let mut cluster = Cluster::new(30, Network::default());
     cluster.install(bundle(BACK_ENDS, REGIONS));
     let first = cluster.start(0, 0, &[]);
-    assert!(cluster.processes[first].parts.health.is_informed());
+    assert!(cluster.processes[first].parts.health.is_bootstrapped());
     let lost = cluster.start(1, 1, &[5]);
-    assert!(!cluster.processes[lost].parts.health.is_informed());
+    assert!(!cluster.processes[lost].parts.health.is_bootstrapped());
     cluster.run(seconds(1.1));
-    assert!(cluster.processes[lost].parts.health.is_informed());
+    assert!(cluster.processes[lost].parts.health.is_bootstrapped());
 }
