--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -11,7 +11,6 @@
 
 mod answering;
 mod attempts;
-mod crash_suspects;
 mod delay;
 mod dispatching;
 mod hedging;
@@ -19,6 +18,7 @@
 mod part;
 mod reports;
 mod request;
+mod send_policy;
 mod slice;
 mod slice_coordinator;
 mod slice_owner;
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -2,12 +2,12 @@
 
 use super::Gateway;
 use super::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
-use super::awaiting::AwaitingRequest;
 use super::event::{GatewayEvent, RequestHead};
 use super::exchange::{Context, Exchanges};
 use super::notes::{GatewayChange, RequestNote, ViewOrigin};
 use super::parameters::GatewayParameters;
 use super::patience::CallerTry;
+use super::pending::PendingRequest;
 use super::routes::RouteTable;
 use super::views::peers::send_digest;
 use crate::driver_action::CallerId;
@@ -33,7 +33,7 @@
             GatewayEvent::Started => self.started(),
             GatewayEvent::Request { caller, head } => self.request(caller, head),
             GatewayEvent::CallerGone { caller } => {
-                self.awaiting.caller_gone(caller);
+                self.pending.caller_gone(caller);
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.caller_gone(&mut context, caller);
             }
@@ -97,7 +97,7 @@
             self.exchanges.next_timeout(),
             self.quarantine.next_timeout(),
             Some(self.next_maintenance),
-            self.awaiting.next_timeout(),
+            self.pending.next_timeout(),
             staged,
         ];
         timeouts.into_iter().flatten().min()
@@ -156,7 +156,7 @@
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
         }
-        for request in self.awaiting.take_expired(self.now) {
+        for request in self.pending.take_expired(self.now) {
             self.refuse_without_configuration(request);
         }
         let (exchanges, mut context) = self.exchanges();
@@ -189,9 +189,9 @@
     }
 
     /// Refuses a request that timed out waiting for a configuration, with a time to retry.
-    fn refuse_without_configuration(&mut self, request: AwaitingRequest) {
-        let caller_try = self.awaiting.judge(&request);
-        let AwaitingRequest {
+    fn refuse_without_configuration(&mut self, request: PendingRequest) {
+        let caller_try = self.pending.classify(&request);
+        let PendingRequest {
             caller,
             head,
             arrived,
@@ -250,7 +250,7 @@
             self.put_in_force();
         }
         if self.knows_views() {
-            for waiting in self.awaiting.take_all() {
+            for waiting in self.pending.take_all() {
                 self.route(waiting.caller, waiting.head, waiting.arrived);
             }
         }
@@ -279,7 +279,7 @@
             return;
         }
         let share = self.parameters.exchange.awaiting_share;
-        if let Some(request) = self.awaiting.add(self.now, caller, head, share) {
+        if let Some(request) = self.pending.add(self.now, caller, head, share) {
             self.refuse_without_configuration(request);
         }
     }
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -13,12 +13,11 @@
 //! | `exchange` | requests in flight: attempts, hedges, retries, answers |
 //! | `slices` | partitioning of a gather's shards among nodes |
 //! | `quarantine` | requests that crash the servers that run them |
-//! | `awaiting` | requests received before the first configuration |
+//! | `pending` | requests received before the first configuration |
 //! | `budget` | cluster-wide budget of extra attempts |
 //! | [`crate::membership`] | nodes that share the budgets |
 
 mod action;
-mod awaiting;
 mod budget;
 mod enforcing;
 mod event;
@@ -29,6 +28,7 @@
 mod parameters;
 mod patience;
 mod peer_viewing;
+mod pending;
 mod quarantine;
 mod routes;
 mod servers;
@@ -63,9 +63,9 @@
 use crate::membership::Membership;
 use crate::signal::Signal;
 use crate::time::Timestamp;
-use awaiting::Awaiting;
 use budget::ExtraAttemptBudget;
 use exchange::Exchanges;
+use pending::PendingRequests;
 use quarantine::Quarantine;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -133,7 +133,7 @@
     division_stale: bool,
     /// Until when received messages may have been queued while this process was paused.
     stale_until: Timestamp,
-    awaiting: Awaiting,
+    pending: PendingRequests,
     ready: bool,
     stopping: bool,
     next_maintenance: Timestamp,
@@ -198,7 +198,7 @@
             budget: ExtraAttemptBudget::new(parameters.budget.clone(), others_named, setup.seed),
             exchanges: Exchanges::new(parameters.exchange.clone()),
             quarantine: Quarantine::new(parameters.quarantine.clone()),
-            awaiting: Awaiting::default(),
+            pending: PendingRequests::default(),
             freshness: Freshness::new(parameters.views.staleness_limit),
             reads: true,
             joins_through_others,
@@ -216,7 +216,7 @@
 
     /// Number of requests not answered yet.
     pub fn in_flight(&self) -> usize {
-        self.exchanges.in_flight() + self.awaiting.len()
+        self.exchanges.in_flight() + self.pending.len()
     }
 
     /// Number of members that share the budgets, including this node.
--- a/crates/thornbridge-core/src/gateway/awaiting.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -21,14 +21,14 @@
 
 /// A request that waits for a configuration.
 #[derive(Clone, Debug)]
-pub(super) struct AwaitingRequest {
+pub(super) struct PendingRequest {
     pub(super) caller: CallerId,
     pub(super) head: RequestHead,
     pub(super) arrived: Timestamp,
     expires_at: Timestamp,
 }
 
-impl AwaitingRequest {
+impl PendingRequest {
     fn patience(&self) -> Duration {
         self.head.patience.unwrap_or(DEFAULT_PATIENCE)
     }
@@ -41,12 +41,12 @@
 
 /// Requests that wait for a configuration.
 #[derive(Debug, Default)]
-pub(super) struct Awaiting {
-    requests: BTreeMap<CallerId, AwaitingRequest>,
+pub(super) struct PendingRequests {
+    requests: BTreeMap<CallerId, PendingRequest>,
     patience: PatienceByKind,
 }
 
-impl Awaiting {
+impl PendingRequests {
     /// Adds a request that waits for `share` of its patience unless it is a caller's retry. Returns
     /// the request if its caller is to be refused at once.
     #[must_use]
@@ -56,16 +56,16 @@
         caller: CallerId,
         head: RequestHead,
         share: f64,
-    ) -> Option<AwaitingRequest> {
+    ) -> Option<PendingRequest> {
         let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
         self.patience.observe(&head, patience);
-        let request = AwaitingRequest {
+        let request = PendingRequest {
             caller,
             head,
             arrived: now,
             expires_at: now + patience.mul_f64(share),
         };
-        let first = self.judge(&request) == CallerTry::First;
+        let first = self.classify(&request) == CallerTry::First;
         if first && now.since_epoch() >= VIEW_LOAD_TIME {
             return Some(request);
         }
@@ -74,7 +74,7 @@
     }
 
     /// Which try of its caller a request is.
-    pub(super) fn judge(&self, request: &AwaitingRequest) -> CallerTry {
+    pub(super) fn classify(&self, request: &PendingRequest) -> CallerTry {
         self.patience.judge(&request.head, request.patience())
     }
 
@@ -97,7 +97,7 @@
 
     /// Removes and returns the expired requests. A caller's retry is extended to the end of its
     /// patience.
-    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<AwaitingRequest> {
+    pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<PendingRequest> {
         let patience = &self.patience;
         for request in self.requests.values_mut() {
             let patience_deadline = request.patience_deadline();
@@ -119,7 +119,7 @@
     }
 
     /// Removes and returns all requests.
-    pub(super) fn take_all(&mut self) -> Vec<AwaitingRequest> {
+    pub(super) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.requests).into_values().collect()
     }
 }
--- a/crates/thornbridge-core/src/gateway/tests/mod.rs
+++ b/crates/thornbridge-core/src/gateway/tests/mod.rs
@@ -1,7 +1,6 @@
 //! Unit and property tests of the gateway.
 
 mod answers;
-mod awaiting;
 mod budgets;
 mod delays;
 mod divisions;
@@ -11,6 +10,7 @@
 mod grants;
 mod hedges;
 mod neighbours;
+mod pending;
 mod quarantine;
 mod queues;
 mod registries;
