--- a/crates/thornbridge-core/src/gateway/action.rs
+++ b/crates/thornbridge-core/src/gateway/action.rs
@@ -1,7 +1,7 @@
 //! Actions that a gateway requests of its driver.
 
 use super::event::ViewKind;
-use super::notes::{GatewayChange, RequestNote};
+use super::telemetry::{GatewayChange, RequestSummary};
 use crate::driver_action::{CallerId, ConnectionId};
 use bytes::Bytes;
 use http::HeaderMap;
@@ -76,7 +76,7 @@
 
 /// Whether a refused request may have run, or what is wrong with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalPromise {
+pub enum RefusalStatus {
     /// The request did not run and will not run.
     NotRun,
     /// The request may have run.
@@ -115,7 +115,7 @@
         /// Reason.
         reason: RefusalReason,
         /// Whether the request may have run.
-        promise: RefusalPromise,
+        status: RefusalStatus,
         /// Time after which the caller may retry.
         retry_after: Option<Duration>,
     },
@@ -168,7 +168,7 @@
         timeout: Duration,
     },
     /// Send a slice task with the caller's request to a slice owner.
-    AskOwner {
+    SendTask {
         /// Slice owner.
         to: SocketAddr,
         /// Caller whose request is relayed.
@@ -177,14 +177,14 @@
         task: Box<SliceTask>,
     },
     /// Store a request relayed by a peer, for use by later attempts.
-    Adopt {
+    KeepRelayed {
         /// Handle assigned to the request.
         caller: CallerId,
         /// Encoded request, as received.
         relayed: SharedBytes,
     },
     /// Drop a relayed request.
-    Release {
+    ReleaseRelayed {
         /// Handle of the request.
         caller: CallerId,
     },
@@ -206,7 +206,7 @@
         limits: CallerLimits,
     },
     /// Log and count a finished request.
-    Finished(RequestNote),
+    Finished(RequestSummary),
     /// Log and count a state change.
     Changed(GatewayChange),
 }
--- a/crates/thornbridge-core/src/gateway/enforcing.rs
+++ b/crates/thornbridge-core/src/gateway/activation.rs
@@ -2,9 +2,9 @@
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::notes::{GatewayChange, ViewOrigin};
 use super::routes::services_of;
 use super::staging::Staged;
+use super::telemetry::{GatewayChange, ViewOrigin};
 use std::sync::Arc;
 use thornbridge_config::routes::RouteConfiguration;
 
@@ -68,7 +68,7 @@
         self.divide();
         let limits = configuration.limits;
         self.actions.push_back(GatewayAction::SetLimits { limits });
-        let change = GatewayChange::ConfigurationInForce {
+        let change = GatewayChange::ConfigurationActivated {
             version: configuration.version,
             replaced,
             origin,
--- a/crates/thornbridge-core/src/gateway/patience.rs
+++ b/crates/thornbridge-core/src/gateway/caller_try.rs
@@ -22,7 +22,7 @@
     /// First attempt.
     First,
     /// Retry.
-    Later,
+    Retry,
     /// Not enough requests observed yet.
     Unknown,
 }
@@ -32,7 +32,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::First => "first",
-            Self::Later => "later",
+            Self::Retry => "later",
             Self::Unknown => "unknown",
         }
     }
@@ -68,7 +68,7 @@
         match self.is_longest(patience) {
             true if self.longest_count >= CONFIRMATIONS => CallerTry::First,
             true => CallerTry::Unknown,
-            false => CallerTry::Later,
+            false => CallerTry::Retry,
         }
     }
 
--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -52,7 +52,7 @@
     /// Another instance has taken over the address; the request did not run.
     WrongInstance,
     /// Reply to a different request, altered or unsigned.
-    Spoilt,
+    Invalid,
 }
 
 /// Complete reply of a server.
@@ -115,11 +115,11 @@
     /// Instance that was added or changed.
     Instance(StoreRevision, Instance),
     /// Instance that was removed.
-    Departed(StoreRevision, BackEndId),
+    InstanceRemoved(StoreRevision, BackEndId),
     /// Zone whose servers must receive no requests.
-    Evacuated(ZoneName),
+    EvacuationStarted(ZoneName),
     /// Zone whose evacuation ended.
-    EvacuationOver(ZoneName),
+    EvacuationEnded(ZoneName),
     /// Object that cannot be used.
     Unusable {
         /// Object name; empty if unreadable.
@@ -136,7 +136,7 @@
     fn in_era(self, era: u64) -> Self {
         match self {
             Self::Instance(revision, instance) => Self::Instance(revision.in_era(era), instance),
-            Self::Departed(revision, id) => Self::Departed(revision.in_era(era), id),
+            Self::InstanceRemoved(revision, id) => Self::InstanceRemoved(revision.in_era(era), id),
             Self::Unusable {
                 name,
                 revision,
@@ -155,7 +155,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceFailure {
     /// The requested revision has been compacted; a full list is required.
-    HistoryGone,
+    HistoryCompacted,
     /// The store refused the call: rate limit exceeded or unavailable.
     Refused,
     /// The read timed out or the connection broke.
@@ -163,18 +163,18 @@
     /// The reply could not be parsed.
     Malformed,
     /// The reply belongs to an earlier store era.
-    EndedEra,
+    StaleEra,
 }
 
 impl SourceFailure {
     /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::HistoryGone => "history_gone",
+            Self::HistoryCompacted => "history_gone",
             Self::Refused => "refused",
             Self::Unreachable => "unreachable",
             Self::Malformed => "malformed",
-            Self::EndedEra => "ended_era",
+            Self::StaleEra => "ended_era",
         }
     }
 }
@@ -239,7 +239,7 @@
         head: RequestHead,
     },
     /// The caller disconnected before it received an answer.
-    CallerGone {
+    CallerDisconnected {
         /// Caller handle.
         caller: CallerId,
     },
@@ -293,7 +293,7 @@
         slice: SliceId,
     },
     /// A request relayed by a peer could not be decoded.
-    RelayUnusable {
+    RelayMalformed {
         /// Handle assigned to the relayed request.
         caller: CallerId,
     },
@@ -305,7 +305,7 @@
     /// The time returned by [`Gateway::next_timeout`](super::Gateway::next_timeout) was reached.
     TimerDue,
     /// A graceful shutdown was requested.
-    StopAsked,
+    StopRequested,
     /// The operator changed the settings.
     Reconfigured {
         /// New parameters; membership parameters are ignored.
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -6,12 +6,12 @@
 use super::slice::Slice;
 use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
-use crate::gateway::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
+use crate::gateway::action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus};
+use crate::gateway::caller_try::CallerTry;
 use crate::gateway::event::{RequestHead, ServerReply};
-use crate::gateway::notes::{AttemptNote, AttemptOutcome, RequestNote};
 use crate::gateway::parameters::ExchangeParameters;
-use crate::gateway::patience::CallerTry;
 use crate::gateway::routes::{ResolvedGather, ResolvedRoute, ResolvedTarget};
+use crate::gateway::telemetry::{AttemptOutcome, AttemptSummary, RequestSummary};
 use crate::time::Timestamp;
 use bytes::Bytes;
 use std::time::Duration;
@@ -113,34 +113,34 @@
     }
 }
 
-/// Refusal whose promise reflects whether the request may have run.
+/// Refusal whose status reflects whether the request may have run.
 fn refusal(
     parameters: &ExchangeParameters,
     request: &Request,
     reason: RefusalReason,
 ) -> GatewayAnswer {
-    let promise = match (request.may_have_run(), reason) {
-        (false, _) => RefusalPromise::NotRun,
-        (true, RefusalReason::TimedOut) => RefusalPromise::TimedOut,
-        (true, _) => RefusalPromise::MayHaveRun,
+    let status = match (request.may_have_run(), reason) {
+        (false, _) => RefusalStatus::NotRun,
+        (true, RefusalReason::TimedOut) => RefusalStatus::TimedOut,
+        (true, _) => RefusalStatus::MayHaveRun,
     };
-    let retry_after = (promise == RefusalPromise::NotRun).then_some(parameters.retry_after);
+    let retry_after = (status == RefusalStatus::NotRun).then_some(parameters.retry_after);
     GatewayAnswer::Refused {
         reason,
-        promise,
+        status,
         retry_after,
     }
 }
 
 /// Refusal of a request that crashes servers, for the `remaining` time of its quarantine.
 pub(super) fn crash_refusal(request: &Request, remaining: Duration) -> GatewayAnswer {
-    let (promise, retry_after) = match request.may_have_run() {
-        true => (RefusalPromise::MayHaveRun, None),
-        false => (RefusalPromise::NotRun, Some(remaining)),
+    let (status, retry_after) = match request.may_have_run() {
+        true => (RefusalStatus::MayHaveRun, None),
+        false => (RefusalStatus::NotRun, Some(remaining)),
     };
     GatewayAnswer::Refused {
         reason: RefusalReason::CrashesServers,
-        promise,
+        status,
         retry_after,
     }
 }
@@ -175,7 +175,7 @@
         reason: RefusalReason,
         retry_after: Duration,
     ) {
-        let note = RequestNote::unstarted(
+        let note = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             route.route.name.clone(),
@@ -190,10 +190,10 @@
         };
         let note = note.with_retry(caller_try, retry_after);
         context.actions.push_back(GatewayAction::Finished(note));
-        let promise = RefusalPromise::NotRun;
+        let status = RefusalStatus::NotRun;
         let answer = GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
         };
         context
@@ -212,7 +212,7 @@
         let progress = request.progress();
         let mut notable = request.notes.clone();
         self.add_unfinished_attempts(context, request, &mut notable);
-        let note = RequestNote {
+        let note = RequestSummary {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
             route: request.route.route.name.clone(),
@@ -238,7 +238,7 @@
         &self,
         context: &Context<'_>,
         request: &Request,
-        notable: &mut Vec<AttemptNote>,
+        notable: &mut Vec<AttemptSummary>,
     ) {
         let unanswered = request.parts.iter().filter(|part| !part.is_answered());
         let queued = unanswered.clone().filter_map(|part| part.queued_at());
@@ -246,7 +246,7 @@
             let Some(server) = context.servers.get(server) else {
                 continue;
             };
-            notable.push(AttemptNote {
+            notable.push(AttemptSummary {
                 server: server.id.clone(),
                 sent_after: context.now.since(request.arrived),
                 cause,
@@ -261,7 +261,7 @@
             let Some(server) = context.servers.get(record.target.server) else {
                 continue;
             };
-            notable.push(AttemptNote {
+            notable.push(AttemptSummary {
                 server: server.id.clone(),
                 sent_after: record.sent.since(request.arrived),
                 cause: record.cause,
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -7,9 +7,9 @@
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::event::{ExchangeFailure, ReplyVerdict, ServerReply};
-use crate::gateway::notes::{AttemptCause, AttemptNote, AttemptOutcome, GatewayChange};
 use crate::gateway::routes::RouteKey;
 use crate::gateway::servers::{Loss, ServerKey};
+use crate::gateway::telemetry::{AttemptCause, AttemptOutcome, AttemptSummary, GatewayChange};
 use crate::time::Timestamp;
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
@@ -307,7 +307,7 @@
                     "wrong_instance",
                 );
             }
-            AttemptOutcome::ServerFailure | AttemptOutcome::Spoilt => {
+            AttemptOutcome::ServerFailure | AttemptOutcome::Invalid => {
                 self.add_failure_cost(
                     context,
                     record.target.server,
@@ -344,7 +344,7 @@
             return;
         }
         server.avoided = avoided;
-        let change = GatewayChange::Trust {
+        let change = GatewayChange::ServerAvoidance {
             id: server.id.clone(),
             avoided,
             cause,
@@ -357,7 +357,7 @@
     match reply.verdict {
         ReplyVerdict::NotRun => AttemptOutcome::NotRun,
         ReplyVerdict::WrongInstance => AttemptOutcome::WrongInstance,
-        ReplyVerdict::Spoilt => AttemptOutcome::Spoilt,
+        ReplyVerdict::Invalid => AttemptOutcome::Invalid,
         ReplyVerdict::Answer if reply.status >= FIRST_SERVER_ERROR_STATUS => {
             AttemptOutcome::ServerFailure
         }
@@ -379,7 +379,7 @@
     let Some(server) = context.servers.get(record.target.server) else {
         return;
     };
-    request.notes.push(AttemptNote {
+    request.notes.push(AttemptSummary {
         server: server.id.clone(),
         sent_after: record.sent.since(request.arrived),
         cause: record.cause,
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -5,8 +5,8 @@
 use super::request::Request;
 use super::{AttemptTarget, Context, Exchanges, is_repeatable};
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
+use crate::gateway::telemetry::AttemptCause;
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
 
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -5,8 +5,8 @@
 
 use super::request::Request;
 use super::{AttemptTarget, Context, Exchanges};
-use crate::gateway::notes::AttemptCause;
 use crate::gateway::servers::{OpenOutcome, ServerKey};
+use crate::gateway::telemetry::AttemptCause;
 use std::time::Duration;
 
 impl Exchanges {
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -28,10 +28,10 @@
 use super::action::{GatewayAction, GatewayAnswer, RefusalReason};
 
 use super::budget::{ExtraAttemptBudget, ServiceKey};
+use super::caller_try::CallerTry;
 use super::event::RequestHead;
 use super::parameters::ExchangeParameters;
-use super::patience::CallerTry;
-use super::quarantine::{Caution, Quarantine};
+use super::quarantine::{Quarantine, SendPolicy};
 use super::routes::{ResolvedRoute, ResolvedTarget, RouteTable};
 use super::servers::{ServerKey, Servers};
 use super::slices::Slices;
@@ -146,7 +146,7 @@
             return;
         }
         let caution = context.quarantine.caution(context.now, head.fingerprint);
-        if !caution.allows_new_tries() {
+        if !caution.allows_new_attempts() {
             self.refuse_crashing(context, caller, &head, &route);
             return;
         }
@@ -162,7 +162,7 @@
         let plan = context
             .slices
             .plan(context.now, route.key)
-            .filter(|_| !context.messages_may_be_stale && caution == Caution::None);
+            .filter(|_| !context.messages_may_be_stale && caution == SendPolicy::Unrestricted);
         let plan = plan.filter(|plan| plan.covers(services.len()));
         let parts = services.into_iter().map(Part::new).collect();
         let mut request = Request {
@@ -229,7 +229,7 @@
         };
         self.schedule.remove(&(request.check_at, caller));
         let caution = context.quarantine.caution(context.now, request.fingerprint);
-        if caution == Caution::None {
+        if caution == SendPolicy::Unrestricted {
             self.advance_slices(context, &mut request);
         }
         if request.should_give_up(caution) {
--- a/crates/thornbridge-core/src/gateway/exchange/part.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/part.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::budget::ServiceKey;
 use crate::gateway::event::ServerReply;
-use crate::gateway::notes::{AttemptCause, AttemptOutcome};
 use crate::gateway::servers::ServerKey;
+use crate::gateway::telemetry::{AttemptCause, AttemptOutcome};
 use crate::time::Timestamp;
 use bytes::Bytes;
 use std::time::Duration;
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -4,7 +4,7 @@
 use super::request::Request;
 use super::slice::send_message;
 use super::{Context, Exchanges};
-use crate::gateway::notes::SliceOutcome;
+use crate::gateway::telemetry::SliceOutcome;
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -78,7 +78,7 @@
         }
         if matches!(
             delegation.outcome,
-            SliceOutcome::Asked | SliceOutcome::Silent
+            SliceOutcome::Pending | SliceOutcome::Silent
         ) {
             let elapsed = Duration::from_micros(report.elapsed_us);
             let overhead = context
@@ -93,7 +93,7 @@
         }
         delegation.outcome = match report.finished {
             true => SliceOutcome::Finished,
-            false => SliceOutcome::Reporting,
+            false => SliceOutcome::Partial,
         };
         if report.finished {
             self.delegated_slices.remove(&sender.id);
--- a/crates/thornbridge-core/src/gateway/exchange/request.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/request.rs
@@ -4,9 +4,9 @@
 use super::slice::Slice;
 use super::slice_owner::{Coordinator, GrantState};
 use crate::driver_action::CallerId;
-use crate::gateway::notes::{AttemptNote, SliceNote};
-use crate::gateway::patience::CallerTry;
+use crate::gateway::caller_try::CallerTry;
 use crate::gateway::routes::{ResolvedRoute, ResolvedTarget};
+use crate::gateway::telemetry::{AttemptSummary, SliceSummary};
 use crate::time::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     pub(super) max_attempts: u32,
     /// Time of the next check in the schedule.
     pub(super) check_at: Timestamp,
-    pub(super) notes: Vec<AttemptNote>,
+    pub(super) notes: Vec<AttemptSummary>,
     pub(super) budget_denials: usize,
     pub(super) origin: Origin,
     /// Slices delegated to other nodes.
@@ -76,7 +76,7 @@
 
     /// Whether the caller tried before and will not retry again.
     pub(super) fn is_caller_retry(&self) -> bool {
-        self.caller_try == CallerTry::Later
+        self.caller_try == CallerTry::Retry
     }
 
     pub(super) fn is_gather(&self) -> bool {
@@ -127,7 +127,7 @@
     }
 
     /// Delegations of the request, for the log.
-    pub(super) fn slice_notes(&self) -> Vec<SliceNote> {
+    pub(super) fn slice_notes(&self) -> Vec<SliceSummary> {
         let slices = self.slices.iter();
         slices.flat_map(|slice| slice.notes(self.arrived)).collect()
     }
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -8,7 +8,7 @@
 use crate::driver_action::CallerId;
 use crate::gateway::action::RefusalReason;
 use crate::gateway::event::RequestHead;
-use crate::gateway::quarantine::Caution;
+use crate::gateway::quarantine::SendPolicy;
 use crate::gateway::routes::ResolvedRoute;
 use crate::time::Timestamp;
 use std::net::SocketAddr;
@@ -31,20 +31,20 @@
     }
 
     /// When to check the request next, unless an attempt ends first.
-    pub(super) fn next_check_under(&self, caution: Caution, now: Timestamp) -> Timestamp {
+    pub(super) fn next_check_under(&self, caution: SendPolicy, now: Timestamp) -> Timestamp {
         let check_at = match caution {
-            Caution::None => self.next_check(now),
+            SendPolicy::Unrestricted => self.next_check(now),
             _ => (now + SUSPECT_CHECK_INTERVAL).min(self.deadline),
         };
         check_at.max(now + MIN_CHECK_INTERVAL)
     }
 
     /// Whether the request is to be given up.
-    pub(super) fn should_give_up(&self, caution: Caution) -> bool {
+    pub(super) fn should_give_up(&self, caution: SendPolicy) -> bool {
         match caution {
-            Caution::None | Caution::OneAtATime => false,
-            Caution::NoMore => !self.has_attempt_in_flight(),
-            Caution::Refuse => true,
+            SendPolicy::Unrestricted | SendPolicy::OneAtATime => false,
+            SendPolicy::AwaitInFlight => !self.has_attempt_in_flight(),
+            SendPolicy::Refuse => true,
         }
     }
 }
@@ -53,9 +53,9 @@
     /// Whether the request may be sent to another server now.
     pub(super) fn may_send_now(context: &Context<'_>, request: &Request) -> bool {
         match context.quarantine.caution(context.now, request.fingerprint) {
-            Caution::None => true,
-            Caution::OneAtATime => !request.has_attempt_in_flight(),
-            Caution::NoMore | Caution::Refuse => false,
+            SendPolicy::Unrestricted => true,
+            SendPolicy::OneAtATime => !request.has_attempt_in_flight(),
+            SendPolicy::AwaitInFlight | SendPolicy::Refuse => false,
         }
     }
 
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -2,8 +2,8 @@
 
 use super::Context;
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::{SliceNote, SliceOutcome};
 use crate::gateway::slices::Plan;
+use crate::gateway::telemetry::{SliceOutcome, SliceSummary};
 use crate::time::Timestamp;
 use bytes::Bytes;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
             owner,
             id,
             sent_at,
-            outcome: SliceOutcome::Asked,
+            outcome: SliceOutcome::Pending,
             answered: Vec::new(),
             records: Vec::new(),
         }
@@ -43,7 +43,7 @@
     /// Whether the owner may still send a report.
     pub(super) fn may_report(&self) -> bool {
         match self.outcome {
-            SliceOutcome::Asked | SliceOutcome::Silent | SliceOutcome::Reporting => true,
+            SliceOutcome::Pending | SliceOutcome::Silent | SliceOutcome::Partial => true,
             SliceOutcome::Finished | SliceOutcome::Refused | SliceOutcome::Lost => false,
         }
     }
@@ -105,7 +105,7 @@
     /// Whether an owner that is not silent has yet to send its first report.
     pub(super) fn awaits_first_report(&self) -> bool {
         let mut delegations = self.delegations.iter();
-        delegations.any(|delegation| delegation.outcome == SliceOutcome::Asked)
+        delegations.any(|delegation| delegation.outcome == SliceOutcome::Pending)
     }
 
     /// Whether an owner that is not silent may still report.
@@ -146,9 +146,9 @@
     }
 
     /// Delegations, for the log.
-    pub(super) fn notes(&self, arrived: Timestamp) -> impl Iterator<Item = SliceNote> {
+    pub(super) fn notes(&self, arrived: Timestamp) -> impl Iterator<Item = SliceSummary> {
         let delegations = self.delegations.iter();
-        delegations.map(move |delegation| SliceNote {
+        delegations.map(move |delegation| SliceSummary {
             owner: delegation.owner,
             asked_after: delegation.sent_at.since(arrived),
             outcome: delegation.outcome,
--- a/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
@@ -12,9 +12,9 @@
 use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::{AttemptCause, GatewayChange, SliceOutcome};
 use crate::gateway::routes::{ResolvedGather, ResolvedTarget};
 use crate::gateway::slices::Plan;
+use crate::gateway::telemetry::{AttemptCause, GatewayChange, SliceOutcome};
 use crate::time::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -95,7 +95,7 @@
         context.slices.message_sent(context.now, owner);
         let caller = request.caller;
         let task = Box::new(task);
-        context.actions.push_back(GatewayAction::AskOwner {
+        context.actions.push_back(GatewayAction::SendTask {
             to: owner,
             caller,
             task,
@@ -134,7 +134,7 @@
             slice.silent_at = None;
             let unreported = slice.delegations.iter_mut();
             let unreported =
-                unreported.filter(|delegation| delegation.outcome == SliceOutcome::Asked);
+                unreported.filter(|delegation| delegation.outcome == SliceOutcome::Pending);
             for delegation in unreported {
                 delegation.outcome = SliceOutcome::Silent;
                 context.slices.owner_failed(context.now, delegation.owner);
@@ -242,7 +242,7 @@
     let Some(lasts) = context.slices.suspend_division(context.now) else {
         return;
     };
-    let change = GatewayChange::OwnersMissing {
+    let change = GatewayChange::OwnersSilent {
         silent: request.slices_with_silent_owner(),
         slices: request.slices.len(),
         lasts,
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -12,7 +12,7 @@
 use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
 use crate::gateway::action::GatewayAction;
-use crate::gateway::patience::CallerTry;
+use crate::gateway::caller_try::CallerTry;
 use crate::gateway::routes::{ResolvedGather, ResolvedRoute, ResolvedTarget};
 use crate::time::Timestamp;
 use bytes::Bytes;
@@ -95,7 +95,7 @@
         let overloaded = self.requests.len() >= self.parameters.requests_maximum;
         let unknown = services.iter().all(Option::is_none);
         let caution = context.quarantine.caution(context.now, task.fingerprint);
-        if !caution.allows_new_tries() {
+        if !caution.allows_new_attempts() {
             self.refuse_crashing_slice(context, coordinator, &task);
             return;
         }
@@ -148,7 +148,7 @@
             .insert((coordinator, slice_id(&request)), caller);
         context
             .actions
-            .push_back(GatewayAction::Adopt { caller, relayed });
+            .push_back(GatewayAction::KeepRelayed { caller, relayed });
         self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
         self.advance(context, caller);
@@ -309,7 +309,9 @@
                 .remove(&(coordinator.address, coordinator.slice));
         }
         let caller = request.caller;
-        context.actions.push_back(GatewayAction::Release { caller });
+        context
+            .actions
+            .push_back(GatewayAction::ReleaseRelayed { caller });
     }
 }
 
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -1,14 +1,14 @@
 //! Event dispatch, timers and readiness of a gateway.
 
 use super::Gateway;
-use super::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
+use super::action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus};
+use super::caller_try::CallerTry;
 use super::event::{GatewayEvent, RequestHead};
 use super::exchange::{Context, Exchanges};
-use super::notes::{GatewayChange, RequestNote, ViewOrigin};
 use super::parameters::GatewayParameters;
-use super::patience::CallerTry;
 use super::pending::PendingRequest;
 use super::routes::RouteTable;
+use super::telemetry::{GatewayChange, RequestSummary, ViewOrigin};
 use super::views::peers::send_digest;
 use crate::driver_action::CallerId;
 use crate::membership::Membership;
@@ -32,7 +32,7 @@
         match event {
             GatewayEvent::Started => self.started(),
             GatewayEvent::Request { caller, head } => self.request(caller, head),
-            GatewayEvent::CallerGone { caller } => {
+            GatewayEvent::CallerDisconnected { caller } => {
                 self.pending.caller_gone(caller);
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.caller_gone(&mut context, caller);
@@ -62,7 +62,7 @@
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.task_not_sent(&mut context, owner, slice);
             }
-            GatewayEvent::RelayUnusable { caller } => {
+            GatewayEvent::RelayMalformed { caller } => {
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.relay_unusable(&mut context, caller);
             }
@@ -72,7 +72,7 @@
                 self.with_membership(|membership, context| membership.link_down(context, address));
             }
             GatewayEvent::TimerDue => self.timer_due(),
-            GatewayEvent::StopAsked => self.stop_requested(),
+            GatewayEvent::StopRequested => self.stop_requested(),
             GatewayEvent::Reconfigured { parameters } => self.reconfigure(*parameters),
             GatewayEvent::Paused { .. } => {
                 self.stale_until = self.now + STALE_AFTER_PAUSE;
@@ -205,7 +205,7 @@
             .max(self.parameters.exchange.retry_after);
         let refusal = Refusal {
             reason: RefusalReason::NoConfiguration,
-            promise: RefusalPromise::NotRun,
+            status: RefusalStatus::NotRun,
             retry_after: Some(retry_after),
             caller_try,
             waited,
@@ -315,12 +315,12 @@
     /// Starts a request on its route, or refuses it if it has no identity or no route matches.
     fn route(&mut self, caller: CallerId, head: RequestHead, arrived: Timestamp) {
         if head.id.is_none() {
-            let refusal = Refusal::permanent(RefusalReason::NoIdentity, RefusalPromise::BadRequest);
+            let refusal = Refusal::permanent(RefusalReason::NoIdentity, RefusalStatus::BadRequest);
             self.refuse(caller, &head, refusal);
             return;
         }
         let Some(route) = self.routes.find(&head.host, &head.path) else {
-            let refusal = Refusal::permanent(RefusalReason::NoRoute, RefusalPromise::NotFound);
+            let refusal = Refusal::permanent(RefusalReason::NoRoute, RefusalStatus::NotFound);
             self.refuse(caller, &head, refusal);
             return;
         };
@@ -331,12 +331,12 @@
     fn refuse(&mut self, caller: CallerId, head: &RequestHead, refusal: Refusal) {
         let Refusal {
             reason,
-            promise,
+            status,
             retry_after,
             caller_try,
             waited,
         } = refusal;
-        let mut note = RequestNote::unstarted(
+        let mut note = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             String::new(),
@@ -349,7 +349,7 @@
         self.actions.push_back(GatewayAction::Finished(note));
         let answer = GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
         };
         self.actions
@@ -360,7 +360,7 @@
 /// Refusal of a request that was not routed.
 struct Refusal {
     reason: RefusalReason,
-    promise: RefusalPromise,
+    status: RefusalStatus,
     retry_after: Option<Duration>,
     caller_try: CallerTry,
     /// Time that the request waited in this node.
@@ -369,10 +369,10 @@
 
 impl Refusal {
     /// A refusal that a retry would not change.
-    fn permanent(reason: RefusalReason, promise: RefusalPromise) -> Self {
+    fn permanent(reason: RefusalReason, status: RefusalStatus) -> Self {
         Self {
             reason,
-            promise,
+            status,
             retry_after: None,
             caller_try: CallerTry::Unknown,
             waited: Duration::ZERO,
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -2,8 +2,8 @@
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::notes::GatewayChange;
 use super::servers::Sharer;
+use super::telemetry::GatewayChange;
 use crate::context::Context;
 use crate::driver_action::Action;
 use crate::membership::{MemberView, Membership};
@@ -44,7 +44,7 @@
         self.budget.set_members(members);
         let sharers = self.budget.sharers();
         if sharers != before {
-            let change = GatewayChange::BudgetSharers { sharers };
+            let change = GatewayChange::BudgetMembers { sharers };
             self.actions.push_back(GatewayAction::Changed(change));
         }
     }
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -18,15 +18,14 @@
 //! | [`crate::membership`] | nodes that share the budgets |
 
 mod action;
+mod activation;
 mod budget;
-mod enforcing;
+mod caller_try;
 mod event;
 mod exchange;
 mod handling;
 mod members;
-mod notes;
 mod parameters;
-mod patience;
 mod peer_viewing;
 mod pending;
 mod quarantine;
@@ -34,6 +33,7 @@
 mod servers;
 mod slices;
 mod staging;
+mod telemetry;
 #[cfg(test)]
 mod tests;
 mod viewing;
@@ -41,22 +41,22 @@
 mod window;
 mod work;
 
-pub use action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason, SourceRead};
+pub use action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus, SourceRead};
 
+pub use caller_try::CallerTry;
 pub use event::{
     ExchangeFailure, GatewayEvent, ReplyVerdict, RequestHead, ServerLoad, ServerReply,
     SourceFailure, SourceReply, ViewKind, ViewObject,
 };
-pub use notes::{
-    AttemptCause, AttemptNote, AttemptOutcome, GatewayChange, RequestNote, SliceNote, SliceOutcome,
-    ViewOrigin,
-};
 pub use parameters::{
     BudgetParameters, ExchangeParameters, GatewayParameters, QuarantineParameters,
     ServerParameters, SliceParameters, ViewParameters,
 };
-pub use patience::CallerTry;
 pub use servers::Placement;
+pub use telemetry::{
+    AttemptCause, AttemptOutcome, AttemptSummary, GatewayChange, RequestSummary, SliceOutcome,
+    SliceSummary, ViewOrigin,
+};
 pub use views::era::{EndedEra, EraTracker, ToldEra};
 
 use crate::driver_action::Action;
--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_viewing.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::notes::ViewOrigin;
+use super::telemetry::ViewOrigin;
 use super::views::era::is_plausible_era;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/thornbridge-core/src/gateway/pending.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -5,8 +5,8 @@
 //! otherwise after a share of its patience. A caller's retry is kept until its patience ends,
 //! because the caller will not retry again.
 
+use super::caller_try::{CallerTry, PatienceByKind};
 use super::event::RequestHead;
-use super::patience::{CallerTry, PatienceByKind};
 use crate::driver_action::CallerId;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
             if request.expires_at > now || request.expires_at >= patience_deadline {
                 continue;
             }
-            if patience.judge(&request.head, request.patience()) == CallerTry::Later {
+            if patience.judge(&request.head, request.patience()) == CallerTry::Retry {
                 request.expires_at = patience_deadline;
             }
         }
--- a/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
@@ -8,8 +8,8 @@
 use super::record::{Audience, Record, Stage};
 use super::{Quarantine, state_change, to_wire};
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::ViewOrigin;
 use crate::gateway::slices::rank;
+use crate::gateway::telemetry::ViewOrigin;
 use crate::time::Timestamp;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -28,8 +28,8 @@
 mod record;
 
 use super::action::GatewayAction;
-use super::notes::{GatewayChange, ViewOrigin};
 use super::parameters::QuarantineParameters;
+use super::telemetry::{GatewayChange, ViewOrigin};
 use crate::time::Timestamp;
 use dissemination::Dissemination;
 use recently_answered::RecentlyAnswered;
@@ -45,21 +45,21 @@
 
 /// To how many servers a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Caution {
+pub(super) enum SendPolicy {
     /// No restriction.
-    None,
+    Unrestricted,
     /// One server at a time.
     OneAtATime,
     /// No new attempts; an attempt in flight may still clear the request.
-    NoMore,
+    AwaitInFlight,
     /// The request is refused.
     Refuse,
 }
 
-impl Caution {
+impl SendPolicy {
     /// Whether a new attempt may be made.
-    pub(super) fn allows_new_tries(self) -> bool {
-        matches!(self, Self::None | Self::OneAtATime)
+    pub(super) fn allows_new_attempts(self) -> bool {
+        matches!(self, Self::Unrestricted | Self::OneAtATime)
     }
 }
 
@@ -102,26 +102,26 @@
     }
 
     /// To how many servers a request may be sent now.
-    pub(super) fn caution(&self, now: Timestamp, fingerprint: Fingerprint) -> Caution {
+    pub(super) fn caution(&self, now: Timestamp, fingerprint: Fingerprint) -> SendPolicy {
         let Some(record) = self.records.get(&fingerprint) else {
-            return Caution::None;
+            return SendPolicy::Unrestricted;
         };
         match record.stage {
-            Stage::Cleared => Caution::None,
-            Stage::Suspected => Caution::OneAtATime,
+            Stage::Cleared => SendPolicy::Unrestricted,
+            Stage::Suspected => SendPolicy::OneAtATime,
             Stage::Probing { .. } | Stage::Quarantined
                 if self.is_explained(fingerprint, record) =>
             {
-                Caution::OneAtATime
+                SendPolicy::OneAtATime
             }
-            Stage::Quarantined => Caution::Refuse,
+            Stage::Quarantined => SendPolicy::Refuse,
             Stage::Probing { since, .. } if now.since(since) >= self.parameters.testing => {
-                Caution::Refuse
+                SendPolicy::Refuse
             }
             Stage::Probing { canaries, .. } if canaries >= self.parameters.canaries => {
-                Caution::NoMore
+                SendPolicy::AwaitInFlight
             }
-            Stage::Probing { .. } => Caution::OneAtATime,
+            Stage::Probing { .. } => SendPolicy::OneAtATime,
         }
     }
 
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -1,7 +1,7 @@
 //! Route table of the active configuration, with services resolved to keys.
 
 use super::budget::ServiceKey;
-use super::patience::StatedPatience;
+use super::caller_try::StatedPatience;
 use super::servers::Servers;
 use super::work::WorkEstimate;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/thornbridge-core/src/gateway/servers/registering.rs
+++ b/crates/thornbridge-core/src/gateway/servers/registering.rs
@@ -3,7 +3,7 @@
 use super::server::{Availability, Server};
 use super::{ServerKey, Servers};
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::{GatewayChange, ViewOrigin};
+use crate::gateway::telemetry::{GatewayChange, ViewOrigin};
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 use thornbridge_proto::BackEndId;
--- a/crates/thornbridge-core/src/gateway/servers/scarcity.rs
+++ b/crates/thornbridge-core/src/gateway/servers/scarcity.rs
@@ -8,7 +8,7 @@
 //! - Idle connections are closed soon after use, so that all nodes share the available ones.
 
 use crate::driver_action::ConnectionId;
-use crate::gateway::notes::GatewayChange;
+use crate::gateway::telemetry::GatewayChange;
 use crate::gateway::window::SumWindow;
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
--- a/crates/thornbridge-core/src/gateway/staging.rs
+++ b/crates/thornbridge-core/src/gateway/staging.rs
@@ -4,7 +4,7 @@
 //! timeout has passed, so that the first requests need not wait for connections. A version is
 //! activated as a whole, so that no route reverts to an older version.
 
-use crate::gateway::notes::ViewOrigin;
+use crate::gateway::telemetry::ViewOrigin;
 use crate::time::Timestamp;
 use std::sync::Arc;
 use thornbridge_config::routes::{RouteConfiguration, RouteVersion};
--- a/crates/thornbridge-core/src/gateway/notes.rs
+++ b/crates/thornbridge-core/src/gateway/telemetry.rs
@@ -1,8 +1,8 @@
 //! Telemetry of a gateway: request summaries and state changes for logs and metrics.
 
 use super::action::RefusalReason;
+use super::caller_try::CallerTry;
 use super::event::ViewKind;
-use super::patience::CallerTry;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thornbridge_config::routes::RouteVersion;
@@ -12,7 +12,7 @@
 
 /// Summary of one attempt at a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptNote {
+pub struct AttemptSummary {
     /// Server.
     pub server: BackEndId,
     /// Time from arrival of the request until the attempt was sent.
@@ -63,7 +63,7 @@
     /// Another instance has taken over the address.
     WrongInstance,
     /// The reply did not belong to the request or failed verification.
-    Spoilt,
+    Invalid,
     /// The connection broke.
     Broken,
 }
@@ -78,7 +78,7 @@
             Self::ServerFailure => "server_failure",
             Self::NotRun => "not_run",
             Self::WrongInstance => "wrong_instance",
-            Self::Spoilt => "spoilt",
+            Self::Invalid => "spoilt",
             Self::Broken => "broken",
         }
     }
@@ -88,11 +88,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SliceOutcome {
     /// No report was received yet.
-    Asked,
+    Pending,
     /// No report was received within the expected time.
     Silent,
     /// A report was received, but some shards were still open.
-    Reporting,
+    Partial,
     /// The outcome of all shards was reported.
     Finished,
     /// The owner refused the slice.
@@ -105,9 +105,9 @@
     /// Label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Asked => "asked",
+            Self::Pending => "asked",
             Self::Silent => "silent",
-            Self::Reporting => "reporting",
+            Self::Partial => "reporting",
             Self::Finished => "finished",
             Self::Refused => "refused",
             Self::Lost => "lost",
@@ -117,7 +117,7 @@
 
 /// Summary of one slice owner's part in a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SliceNote {
+pub struct SliceSummary {
     /// Slice owner.
     pub owner: SocketAddr,
     /// Time from arrival of the request until the task was sent.
@@ -128,7 +128,7 @@
 
 /// Summary of a finished request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestNote {
+pub struct RequestSummary {
     /// Request identity set by the caller.
     pub id: String,
     /// Hash of the request that is the same when the caller retries it.
@@ -150,7 +150,7 @@
     /// Outcome label.
     pub outcome: &'static str,
     /// Extra attempts, and first attempts that did not succeed.
-    pub notable: Vec<AttemptNote>,
+    pub notable: Vec<AttemptSummary>,
     /// Number of attempts sent.
     pub attempts: usize,
     /// Number of extra attempts denied by the budget.
@@ -162,10 +162,10 @@
     /// Coordinator of the gather, if the request was a slice of one.
     pub coordinator: Option<SocketAddr>,
     /// Slice owners that received tasks.
-    pub slices: Vec<SliceNote>,
+    pub slices: Vec<SliceSummary>,
 }
 
-impl RequestNote {
+impl RequestSummary {
     /// Summary of a request that was refused before any attempt was made.
     pub(super) fn unstarted(
         id: String,
@@ -217,7 +217,7 @@
         opened: u64,
     },
     /// A configuration became active.
-    ConfigurationInForce {
+    ConfigurationActivated {
         /// New version.
         version: RouteVersion,
         /// Previous version.
@@ -228,7 +228,7 @@
         staged_for: Duration,
     },
     /// An object from the store was rejected.
-    ObjectRefused {
+    ObjectRejected {
         /// Object name.
         name: String,
         /// Reason.
@@ -261,7 +261,7 @@
         origin: ViewOrigin,
     },
     /// The registry was loaded for the first time.
-    RegistryKnown {
+    RegistryLoaded {
         /// Number of registry entries.
         instances: usize,
         /// Revision of the registry view.
@@ -283,7 +283,7 @@
         origin: ViewOrigin,
     },
     /// Reads of a view started to fail or recovered.
-    Source {
+    StoreReachability {
         /// View.
         kind: ViewKind,
         /// Whether reads succeed now.
@@ -294,7 +294,7 @@
         age: Duration,
     },
     /// A server started or stopped being avoided.
-    Trust {
+    ServerAvoidance {
         /// Server.
         id: BackEndId,
         /// Whether the server is avoided now.
@@ -303,7 +303,7 @@
         cause: &'static str,
     },
     /// This node started or stopped reading the store itself.
-    Reading {
+    StoreReader {
         /// Whether this node reads the store now.
         reads: bool,
         /// Rank in the order of readers.
@@ -312,7 +312,7 @@
         age: Option<Duration>,
     },
     /// Most slice owners of a gather did not respond; this node serves gathers without slices for a while.
-    OwnersMissing {
+    OwnersSilent {
         /// Number of owners that did not report in time.
         silent: usize,
         /// Number of slices of the gather.
@@ -337,7 +337,7 @@
         members: usize,
     },
     /// The number of nodes among which the budget slack is divided changed.
-    BudgetSharers {
+    BudgetMembers {
         /// Number of nodes; `None` while unknown.
         sharers: Option<usize>,
     },
--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -1,7 +1,7 @@
 //! When requests are answered, and with what.
 
 use super::support::{Harness, SentAttempt, answer, gather, millis, route, service, verdict};
-use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, ReplyVerdict};
+use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalStatus, ReplyVerdict};
 use thornbridge_config::routes::Repeatability::{AtMostOnce, Repeatable};
 
 const ONE: &[u8] = b"0000000000000001";
@@ -69,8 +69,8 @@
     let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
-    harness.reply(sent[0].attempt, verdict(ReplyVerdict::Spoilt));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    harness.reply(sent[0].attempt, verdict(ReplyVerdict::Invalid));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     harness.wait(millis(1_001));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::TimedOut));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::TimedOut));
     // Attempts in flight are cancelled after the grace period.
     harness.wait(millis(400));
     assert_eq!(harness.closed.len(), 3);
@@ -88,7 +88,7 @@
 fn attempts_of_departed_caller_are_cancelled_after_grace() {
     let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
-    harness.event(GatewayEvent::CallerGone { caller });
+    harness.event(GatewayEvent::CallerDisconnected { caller });
     harness.wait(millis(100));
     assert!(
         harness.closed.is_empty(),
@@ -113,7 +113,7 @@
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed { attempt, failure });
     assert_eq!(harness.sent_for(caller).len(), 1);
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
 }
 
 #[test]
@@ -199,5 +199,5 @@
     let caller = harness.ask("/x");
     let attempt = harness.sent_for(caller)[0].attempt;
     harness.reply(attempt, verdict(ReplyVerdict::NotRun));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
 }
--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -191,7 +191,10 @@
     let (read, what) = next(&mut actions);
     assert_matches!(what, SourceRead::Watch { from, .. } if from == at(1, 100));
     let changes = SourceReply::Changes {
-        objects: vec![ViewObject::Departed(at(2, 101), BackEndId::new("s1"))],
+        objects: vec![ViewObject::InstanceRemoved(
+            at(2, 101),
+            BackEndId::new("s1"),
+        )],
         at: at(2, 101),
     };
     let news = reader.replied(now, &mut random, &mut actions, read, Ok(changes));
--- a/crates/thornbridge-core/src/gateway/tests/evacuations.rs
+++ b/crates/thornbridge-core/src/gateway/tests/evacuations.rs
@@ -4,7 +4,7 @@
     Harness, RECORD, answer, configuration, gather, millis, peer, route, service,
 };
 use crate::gateway::views::evacuations::{EvacuationChange, Evacuations};
-use crate::gateway::{GatewayAnswer, GatewayEvent, RefusalPromise, ViewKind, ViewObject};
+use crate::gateway::{GatewayAnswer, GatewayEvent, RefusalStatus, ViewKind, ViewObject};
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -39,11 +39,11 @@
 }
 
 fn order(zone: &str) -> ViewObject {
-    ViewObject::Evacuated(ZoneName::new(zone))
+    ViewObject::EvacuationStarted(ZoneName::new(zone))
 }
 
 fn over(zone: &str) -> ViewObject {
-    ViewObject::EvacuationOver(ZoneName::new(zone))
+    ViewObject::EvacuationEnded(ZoneName::new(zone))
 }
 
 /// Servers that got the next twenty requests.
@@ -123,7 +123,7 @@
     harness.changes(ViewKind::Evacuations, vec![order("b")], 60);
     let caller = harness.ask("/x");
     assert!(harness.sent_for(caller).is_empty());
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
 }
 
 #[test]
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -4,7 +4,7 @@
     Harness, answer_all, configuration, gather, instance, millis, route, service, verdict,
 };
 use crate::gateway::{
-    GatewayEvent, GatewayParameters, RefusalPromise, ReplyVerdict, ViewKind, ViewObject,
+    GatewayEvent, GatewayParameters, RefusalStatus, ReplyVerdict, ViewKind, ViewObject,
 };
 use std::time::Duration;
 use thornbridge_config::routes::Repeatability::Repeatable;
@@ -45,7 +45,7 @@
     harness.ask("/x/1");
     harness.ask("/x/2");
     let caller = harness.ask("/x/3");
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
     let retry_after = harness.comes_back(caller).unwrap();
     assert!(
         retry_after >= millis(300) && retry_after <= millis(666),
@@ -87,7 +87,7 @@
     harness.wait(millis(1_000));
     assert!(!harness.answers.contains_key(&retry));
     harness.wait(millis(500));
-    assert_eq!(harness.refused(retry), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(retry), Some(RefusalStatus::NotRun));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     harness.ask("/x");
     harness.ask("/x");
     let caller = harness.ask("/x");
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
     assert!(harness.comes_back(caller).unwrap() >= millis(300));
     assert!(harness.sent_for(caller).is_empty());
 }
@@ -141,7 +141,7 @@
     let first = harness.ask("/x");
     let rejected = harness.sent_for(first)[0].attempt;
     harness.reply(rejected, verdict(ReplyVerdict::NotRun));
-    assert_eq!(harness.refused(first), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(first), Some(RefusalStatus::NotRun));
 
     let retry = harness.ask_with("/x", millis(1_500));
     let rejected = harness.sent_for(retry)[0].attempt;
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -5,8 +5,8 @@
 };
 use crate::driver_action::CallerId;
 use crate::gateway::parameters::QuarantineParameters;
-use crate::gateway::quarantine::{Caution, Quarantine};
-use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, RefusalReason};
+use crate::gateway::quarantine::{Quarantine, SendPolicy};
+use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalReason, RefusalStatus};
 use crate::time::Timestamp;
 use proptest::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -55,11 +55,9 @@
     harness.event(GatewayEvent::Failed { attempt, failure });
 }
 
-fn refusal(harness: &Harness, caller: CallerId) -> Option<(RefusalReason, RefusalPromise)> {
+fn refusal(harness: &Harness, caller: CallerId) -> Option<(RefusalReason, RefusalStatus)> {
     match harness.answers.get(&caller)? {
-        GatewayAnswer::Refused {
-            reason, promise, ..
-        } => Some((*reason, *promise)),
+        GatewayAnswer::Refused { reason, status, .. } => Some((*reason, *status)),
         _ => None,
     }
 }
@@ -76,7 +74,7 @@
     }
     assert_eq!(failed, SHARDS.len() + 2);
     let reason = RefusalReason::CrashesServers;
-    let expected = Some((reason, RefusalPromise::MayHaveRun));
+    let expected = Some((reason, RefusalStatus::MayHaveRun));
     assert_eq!(refusal(&harness, caller), expected);
 }
 
@@ -90,14 +88,14 @@
     let caution = |quarantine: &Quarantine, fingerprint| {
         quarantine.caution(Timestamp::ZERO, Fingerprint(fingerprint))
     };
-    assert_eq!(caution(&explained, 1), Caution::Refuse);
-    assert_eq!(caution(&explained, 2), Caution::OneAtATime);
+    assert_eq!(caution(&explained, 1), SendPolicy::Refuse);
+    assert_eq!(caution(&explained, 2), SendPolicy::OneAtATime);
     let independent =
         quarantine_with(&[crash_record(1, &[1, 2, 3, 4]), crash_record(2, &[2, 3, 5])]);
-    assert_eq!(caution(&independent, 2), Caution::Refuse);
+    assert_eq!(caution(&independent, 2), SendPolicy::Refuse);
     let identical = quarantine_with(&[crash_record(1, &[1, 2, 3]), crash_record(2, &[1, 2, 3])]);
-    assert_eq!(caution(&identical, 1), Caution::Refuse);
-    assert_eq!(caution(&identical, 2), Caution::Refuse);
+    assert_eq!(caution(&identical, 1), SendPolicy::Refuse);
+    assert_eq!(caution(&identical, 2), SendPolicy::Refuse);
 }
 
 #[test]
@@ -148,7 +146,7 @@
     harness.quarantine_message(peer(1), vec![received]);
     let caller = harness.ask("/search/1");
     let reason = RefusalReason::CrashesServers;
-    let expected = Some((reason, RefusalPromise::NotRun));
+    let expected = Some((reason, RefusalStatus::NotRun));
     assert_eq!(refusal(&harness, caller), expected);
     assert!(harness.sent_for(caller).is_empty());
     let retry_after = harness
@@ -161,7 +159,7 @@
 fn crashes_seen_by_two_nodes_are_aggregated() {
     let quarantine = quarantine_with(&[record(&[1, 2], false), record(&[2, 3], false)]);
     let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
-    assert_eq!(caution, Caution::Refuse);
+    assert_eq!(caution, SendPolicy::Refuse);
 }
 
 #[test]
@@ -171,11 +169,11 @@
     let mut random = rand::SeedableRng::seed_from_u64(1);
     let later = Timestamp::ZERO + kept;
     quarantine.timer_due(later, &mut random, &mut VecDeque::new());
-    assert_eq!(quarantine.caution(later, REQUEST), Caution::OneAtATime);
+    assert_eq!(quarantine.caution(later, REQUEST), SendPolicy::OneAtATime);
     quarantine.crashed(later, REQUEST, &BackEndId::new("i-4"));
     let probing = QuarantineParameters::default().testing;
     let caution = quarantine.caution(later + probing, REQUEST);
-    assert_eq!(caution, Caution::Refuse);
+    assert_eq!(caution, SendPolicy::Refuse);
 }
 
 #[test]
@@ -187,7 +185,7 @@
         quarantine.crashed(now, Fingerprint(1_000 + number), &BackEndId::new("i-9"));
     }
     let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
-    assert_eq!(caution, Caution::Refuse);
+    assert_eq!(caution, SendPolicy::Refuse);
     assert_eq!(quarantine.len() as u128, limit);
 }
 
@@ -208,9 +206,9 @@
         mixed.rotate_left(shift);
         let distinct: BTreeSet<&BackEndId> = received.iter().flat_map(|record| &record.instances).collect();
         let expected = match (received.iter().any(|record| record.cleared), distinct.len()) {
-            (true, _) => Caution::None,
-            (false, 0..3) => Caution::OneAtATime,
-            (false, _) => Caution::Refuse,
+            (true, _) => SendPolicy::Unrestricted,
+            (false, 0..3) => SendPolicy::OneAtATime,
+            (false, _) => SendPolicy::Refuse,
         };
         let quarantine = quarantine_with(&mixed);
         prop_assert_eq!(quarantine.caution(Timestamp::ZERO, REQUEST), expected);
@@ -243,7 +241,10 @@
     for index in 0..5 {
         quarantine.crashed(crashed_at, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
-    assert_eq!(quarantine.caution(crashed_at, REQUEST), Caution::None);
+    assert_eq!(
+        quarantine.caution(crashed_at, REQUEST),
+        SendPolicy::Unrestricted
+    );
 }
 
 #[test]
@@ -255,7 +256,10 @@
         quarantine.crashed(later, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
     let probing_ended = later + QuarantineParameters::default().testing;
-    assert_eq!(quarantine.caution(probing_ended, REQUEST), Caution::Refuse);
+    assert_eq!(
+        quarantine.caution(probing_ended, REQUEST),
+        SendPolicy::Refuse
+    );
 }
 
 #[test]
@@ -263,7 +267,7 @@
     let mut quarantine = quarantine_with(&[record(&[1], true)]);
     let later = Timestamp::ZERO + QuarantineParameters::default().answered_lifetime;
     quarantine.learnt(later, &mut VecDeque::new(), &record(&[2, 3, 4], false));
-    assert_eq!(quarantine.caution(later, REQUEST), Caution::Refuse);
+    assert_eq!(quarantine.caution(later, REQUEST), SendPolicy::Refuse);
 }
 
 #[test]
@@ -275,5 +279,8 @@
         &mut VecDeque::new(),
         &record(&[1, 2, 3], false),
     );
-    assert_eq!(quarantine.caution(Timestamp::ZERO, REQUEST), Caution::None);
+    assert_eq!(
+        quarantine.caution(Timestamp::ZERO, REQUEST),
+        SendPolicy::Unrestricted
+    );
 }
--- a/crates/thornbridge-core/src/gateway/tests/routing.rs
+++ b/crates/thornbridge-core/src/gateway/tests/routing.rs
@@ -1,7 +1,7 @@
 //! Tests of routes, configuration versions and registry changes.
 
 use super::support::{Harness, answer, configuration, gather, instance, millis, route, service};
-use crate::gateway::{GatewayAnswer, RefusalPromise, SourceFailure, ViewKind, ViewObject};
+use crate::gateway::{GatewayAnswer, RefusalStatus, SourceFailure, ViewKind, ViewObject};
 use thornbridge_config::routes::Repeatability::{AtMostOnce, Repeatable};
 use thornbridge_config::routes::{RouteTarget, WeightedService};
 use thornbridge_proto::peer::view::{InstanceState, StoreRevision};
@@ -30,7 +30,7 @@
     let routes = vec![route("/only/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s")]);
     let caller = harness.ask("/other/x");
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotFound));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotFound));
 }
 
 #[test]
@@ -68,7 +68,7 @@
 fn removed_server_is_used_as_last_resort_during_grace_period() {
     let mut harness = gateway_with_two_servers();
     let removed =
-        |id: &str| ViewObject::Departed(StoreRevision::without_era(60), BackEndId::new(id));
+        |id: &str| ViewObject::InstanceRemoved(StoreRevision::without_era(60), BackEndId::new(id));
     harness.changes(ViewKind::Registry, vec![removed("s1")], 60);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
@@ -80,7 +80,7 @@
     harness.wait(millis(2_000));
     let caller = harness.ask("/x");
     assert!(harness.sent_for(caller).is_empty());
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
 }
 
 #[test]
@@ -152,7 +152,7 @@
 #[test]
 fn compacted_history_triggers_list() {
     let mut harness = gateway_with_two_servers();
-    harness.source(ViewKind::Registry, Err(SourceFailure::HistoryGone));
+    harness.source(ViewKind::Registry, Err(SourceFailure::HistoryCompacted));
     let third = instance("s3", "s", InstanceState::Ready);
     let objects = vec![ViewObject::Instance(StoreRevision::without_era(70), third)];
     harness.list(ViewKind::Registry, objects, 70);
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -5,7 +5,7 @@
     report_and_request, report_of, reports, stops, task,
 };
 use super::support::{answer, answer_all, millis, peer, verdict};
-use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, ReplyVerdict};
+use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalStatus, ReplyVerdict};
 use assert_matches::assert_matches;
 use std::time::Duration;
 use thornbridge_proto::peer::slice::{ShardFailure, SliceId, SliceMessage, SliceReport, SliceStop};
@@ -80,7 +80,7 @@
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), 0);
     harness.wait(millis(300));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
 }
 
 #[test]
@@ -133,7 +133,7 @@
 fn owners_are_stopped_when_caller_leaves() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let caller = harness.ask("/search/1");
-    harness.event(GatewayEvent::CallerGone { caller });
+    harness.event(GatewayEvent::CallerDisconnected { caller });
     for (_, task) in harness.tasks.clone() {
         assert_eq!(stops(&harness, task.slice), [SliceStop::CallerGone]);
     }
@@ -206,7 +206,7 @@
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, task(&["shard-1"], 1));
     assert_eq!(harness.sent.len(), 1);
-    harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Spoilt));
+    harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Invalid));
     harness.wait(millis(800));
     assert_eq!(harness.sent.len(), 1);
     let reports = reports(&harness);
@@ -292,7 +292,7 @@
     receive_task(&mut harness, task(&["shard-1"], 0));
     let sent = harness.sent[0].clone();
     let caller = sent.caller;
-    harness.event(GatewayEvent::RelayUnusable { caller });
+    harness.event(GatewayEvent::RelayMalformed { caller });
     harness.event(GatewayEvent::Failed {
         attempt: sent.attempt,
         failure: ExchangeFailure::NotSent,
--- a/crates/thornbridge-core/src/gateway/tests/sources.rs
+++ b/crates/thornbridge-core/src/gateway/tests/sources.rs
@@ -109,7 +109,7 @@
             let result = match (step, what) {
                 (Store::IsSilent, _) => continue,
                 (Store::Refuses, _) => Err(SourceFailure::Refused),
-                (Store::Forgets, _) => Err(SourceFailure::HistoryGone),
+                (Store::Forgets, _) => Err(SourceFailure::HistoryCompacted),
                 (Store::Answers, SourceRead::List { .. }) => Ok(SourceReply::Page {
                     objects: Vec::new(),
                     next: None,
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/speeds.rs
@@ -2,8 +2,8 @@
 
 use super::support::{instance, millis};
 use crate::gateway::ServerParameters;
-use crate::gateway::notes::ViewOrigin;
 use crate::gateway::servers::{Placement, ServerKey, Servers};
+use crate::gateway::telemetry::ViewOrigin;
 use crate::time::Timestamp;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -246,12 +246,12 @@
                 self.reads.retain(|(other, _)| *other != kind);
                 self.reads.push((kind, read));
             }
-            GatewayAction::AskOwner { to, task, .. } => self.tasks.push((to, *task)),
+            GatewayAction::SendTask { to, task, .. } => self.tasks.push((to, *task)),
             GatewayAction::SendPeer {
                 to,
                 message: PeerMessage::Slice(message),
             } => self.slice_messages.push((to, message)),
-            GatewayAction::Release { caller } => self.released.push(caller),
+            GatewayAction::ReleaseRelayed { caller } => self.released.push(caller),
             _ => {}
         }
     }
@@ -413,9 +413,9 @@
         self.event(GatewayEvent::Replied { attempt, reply });
     }
 
-    pub fn refused(&self, caller: CallerId) -> Option<crate::gateway::RefusalPromise> {
+    pub fn refused(&self, caller: CallerId) -> Option<crate::gateway::RefusalStatus> {
         match self.answers.get(&caller) {
-            Some(GatewayAnswer::Refused { promise, .. }) => Some(*promise),
+            Some(GatewayAnswer::Refused { status, .. }) => Some(*status),
             _ => None,
         }
     }
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/viewing.rs
@@ -3,7 +3,7 @@
 use super::Gateway;
 use super::action::GatewayAction;
 use super::event::{SourceFailure, SourceReply, ViewKind, ViewObject};
-use super::notes::{GatewayChange, ViewOrigin};
+use super::telemetry::{GatewayChange, ViewOrigin};
 use super::views::evacuations::EvacuationChange;
 use super::views::peers::ViewAge;
 use super::views::registry::RegistryChange;
@@ -84,7 +84,7 @@
         }
         self.reads = reads;
         let confirmed_at = self.freshness.confirmed_at();
-        let change = GatewayChange::Reading {
+        let change = GatewayChange::StoreReader {
             reads,
             rank: self.freshness.rank(),
             age: confirmed_at.map(|at| self.now.since(at)),
@@ -145,10 +145,10 @@
                     changed |= self.take_configuration(configuration, ViewOrigin::Store);
                 }
                 ViewObject::Unusable { name, reason, .. } => self.object_refused(name, reason),
-                ViewObject::Evacuated(zone) => {
+                ViewObject::EvacuationStarted(zone) => {
                     evacuated.insert(zone);
                 }
-                ViewObject::Departed(..) | ViewObject::EvacuationOver(_) => {}
+                ViewObject::InstanceRemoved(..) | ViewObject::EvacuationEnded(_) => {}
             }
         }
         if kind == ViewKind::Evacuations {
@@ -191,7 +191,7 @@
         };
         let others = emitted.into_iter().filter(|action| !is_instance(action));
         self.actions.extend(others);
-        let change = GatewayChange::RegistryKnown {
+        let change = GatewayChange::RegistryLoaded {
             instances: self.registry.len(),
             revision: self.registry.upto().unwrap_or_default(),
             origin,
@@ -230,17 +230,17 @@
                 ViewObject::Instance(revision, instance) => {
                     changes.extend(self.registry.upsert(revision, instance));
                 }
-                ViewObject::Departed(revision, id) => {
+                ViewObject::InstanceRemoved(revision, id) => {
                     changes.extend(self.registry.remove(self.now, revision, at, &id));
                 }
                 ViewObject::Configuration(configuration) => {
                     changed |= self.take_configuration(configuration, ViewOrigin::Store);
                 }
-                ViewObject::Evacuated(zone) => evacuation_changes.push(EvacuationChange {
+                ViewObject::EvacuationStarted(zone) => evacuation_changes.push(EvacuationChange {
                     zone,
                     evacuated: true,
                 }),
-                ViewObject::EvacuationOver(zone) => evacuation_changes.push(EvacuationChange {
+                ViewObject::EvacuationEnded(zone) => evacuation_changes.push(EvacuationChange {
                     zone,
                     evacuated: false,
                 }),
@@ -272,7 +272,7 @@
     }
 
     pub(super) fn object_refused(&mut self, name: String, reason: String) {
-        let change = GatewayChange::ObjectRefused { name, reason };
+        let change = GatewayChange::ObjectRejected { name, reason };
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -7,8 +7,8 @@
 use crate::gateway::action::{GatewayAction, SourceRead};
 
 use crate::gateway::event::{SourceFailure, SourceReply, ViewKind, ViewObject};
-use crate::gateway::notes::GatewayChange;
 use crate::gateway::parameters::ViewParameters;
+use crate::gateway::telemetry::GatewayChange;
 use crate::time::Timestamp;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -194,7 +194,7 @@
                 }
                 update
             }
-            Err(SourceFailure::HistoryGone) => {
+            Err(SourceFailure::HistoryCompacted) => {
                 self.answered(now, actions);
                 self.revision = None;
                 self.start(now, actions);
@@ -337,7 +337,7 @@
         failure: Option<SourceFailure>,
     ) {
         let age = self.age(now);
-        let change = GatewayChange::Source {
+        let change = GatewayChange::StoreReachability {
             kind: self.kind,
             reachable,
             failure,
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use thornbridge_config::routes::CallerLimits;
 use thornbridge_core::CallerId;
-use thornbridge_core::gateway::{GatewayAnswer, RefusalPromise, RefusalReason, RequestHead};
+use thornbridge_core::gateway::{GatewayAnswer, RefusalReason, RefusalStatus, RequestHead};
 use thornbridge_proto::fingerprint::{Fingerprint, FingerprintSource};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -319,9 +319,9 @@
         } => gathered(names, &signatures, missing, records),
         GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
-        } => refused(reason, promise, retry_after),
+        } => refused(reason, status, retry_after),
     }
 }
 
@@ -344,15 +344,15 @@
 
 fn refused(
     reason: RefusalReason,
-    promise: RefusalPromise,
+    refusal_status: RefusalStatus,
     retry_after: Option<Duration>,
 ) -> Response<Full<Bytes>> {
-    let status = match promise {
-        RefusalPromise::NotRun => StatusCode::SERVICE_UNAVAILABLE,
-        RefusalPromise::MayHaveRun => StatusCode::BAD_GATEWAY,
-        RefusalPromise::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-        RefusalPromise::BadRequest => StatusCode::BAD_REQUEST,
-        RefusalPromise::NotFound => StatusCode::NOT_FOUND,
+    let status = match refusal_status {
+        RefusalStatus::NotRun => StatusCode::SERVICE_UNAVAILABLE,
+        RefusalStatus::MayHaveRun => StatusCode::BAD_GATEWAY,
+        RefusalStatus::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+        RefusalStatus::BadRequest => StatusCode::BAD_REQUEST,
+        RefusalStatus::NotFound => StatusCode::NOT_FOUND,
     };
     let mut response = problem(status, reason.as_str());
     if let Some(after) = retry_after
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -181,7 +181,7 @@
                 self.handle(*event);
             }
             GatewayInput::Request(request) => self.take_request(*request),
-            GatewayInput::Stop => self.handle(GatewayEvent::StopAsked),
+            GatewayInput::Stop => self.handle(GatewayEvent::StopRequested),
             GatewayInput::Reconfigure(parameters) => {
                 self.handle(GatewayEvent::Reconfigured { parameters });
             }
@@ -227,7 +227,7 @@
 
     fn caller_gone(&mut self, caller: CallerId) {
         if self.waiting.remove(&caller).is_some() {
-            self.handle(GatewayEvent::CallerGone { caller });
+            self.handle(GatewayEvent::CallerDisconnected { caller });
         }
     }
 
@@ -305,9 +305,9 @@
                     let _ = reply.send(DecidedAnswer::now(answer));
                 }
             }
-            GatewayAction::AskOwner { to, caller, task } => self.ask_owner(to, caller, *task),
-            GatewayAction::Adopt { caller, relayed } => self.adopt(caller, &relayed),
-            GatewayAction::Release { caller } => {
+            GatewayAction::SendTask { to, caller, task } => self.ask_owner(to, caller, *task),
+            GatewayAction::KeepRelayed { caller, relayed } => self.adopt(caller, &relayed),
+            GatewayAction::ReleaseRelayed { caller } => {
                 self.waiting.remove(&caller);
             }
             GatewayAction::Read {
@@ -367,7 +367,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "relayed request refused");
-                self.follow_up.push(GatewayEvent::RelayUnusable { caller });
+                self.follow_up.push(GatewayEvent::RelayMalformed { caller });
             }
         }
     }
--- a/crates/thornbridge-node/src/gateway/log_lines.rs
+++ b/crates/thornbridge-node/src/gateway/log_lines.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 use thornbridge_core::gateway::{
-    AttemptNote, GatewayChange, RequestNote, SliceNote, SourceFailure,
+    AttemptSummary, GatewayChange, RequestSummary, SliceSummary, SourceFailure,
 };
 use thornbridge_proto::BackEndId;
 
@@ -11,7 +11,7 @@
 const ATTEMPTS_NAMED: usize = 8;
 
 /// A request ended.
-pub(super) fn finished(note: &RequestNote) {
+pub(super) fn finished(note: &RequestSummary) {
     log::info!(
         id = note.id.as_str(),
         fingerprint:% = note.fingerprint,
@@ -35,13 +35,13 @@
 }
 
 /// The node whose caller's request it was, where this one answered a slice of it.
-fn coordinator(note: &RequestNote) -> String {
+fn coordinator(note: &RequestSummary) -> String {
     note.coordinator
         .map_or_else(String::new, |address| address.to_string())
 }
 
 /// Owners that were asked for slices: when, and how each stood at the end.
-fn owners(slices: &[SliceNote]) -> String {
+fn owners(slices: &[SliceSummary]) -> String {
     let mut text = String::new();
     for slice in slices {
         let asked_ms = millis(slice.asked_after);
@@ -52,7 +52,7 @@
     text
 }
 
-fn named(attempts: &[AttemptNote]) -> String {
+fn named(attempts: &[AttemptSummary]) -> String {
     let mut text = String::new();
     for attempt in attempts.iter().take(ATTEMPTS_NAMED) {
         let _ = write!(
@@ -77,7 +77,7 @@
 /// A state changed.
 pub(super) fn changed(change: &GatewayChange) {
     match change {
-        GatewayChange::ConfigurationInForce {
+        GatewayChange::ConfigurationActivated {
             version,
             replaced,
             origin,
@@ -89,7 +89,7 @@
             staged_ms = millis(*staged_for);
             "configuration in force"
         ),
-        GatewayChange::ObjectRefused { name, reason } => {
+        GatewayChange::ObjectRejected { name, reason } => {
             log::warn!(name = name.as_str(), reason = reason.as_str(); "object refused");
         }
         GatewayChange::Instance {
@@ -122,7 +122,7 @@
             origin = origin.as_str();
             "evacuation"
         ),
-        GatewayChange::RegistryKnown {
+        GatewayChange::RegistryLoaded {
             instances,
             revision,
             origin,
@@ -149,7 +149,7 @@
             origin = origin.as_str();
             "store era"
         ),
-        GatewayChange::Source {
+        GatewayChange::StoreReachability {
             kind,
             reachable,
             failure,
@@ -161,10 +161,10 @@
             age_ms = millis(*age);
             "store"
         ),
-        GatewayChange::Trust { id, avoided, cause } => {
+        GatewayChange::ServerAvoidance { id, avoided, cause } => {
             log::info!(id = id.as_str(), avoided = *avoided, cause = *cause; "server trust");
         }
-        GatewayChange::Reading { reads, rank, age } => log::info!(
+        GatewayChange::StoreReader { reads, rank, age } => log::info!(
             reads = *reads,
             rank = *rank,
             age_ms = or_never(*age);
@@ -180,7 +180,7 @@
             opened = *opened;
             "server connections"
         ),
-        GatewayChange::OwnersMissing {
+        GatewayChange::OwnersSilent {
             silent,
             slices,
             lasts,
@@ -203,7 +203,7 @@
             "request quarantine"
         ),
         GatewayChange::Members { members } => log::info!(members = *members; "members"),
-        GatewayChange::BudgetSharers { sharers } => {
+        GatewayChange::BudgetMembers { sharers } => {
             log::info!(sharers = sharers.unwrap_or_default(); "budget sharers");
         }
         GatewayChange::Lifecycle { state } => log::info!(state = *state; "node"),
--- a/crates/thornbridge-node/src/gateway/metrics.rs
+++ b/crates/thornbridge-node/src/gateway/metrics.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 use std::fmt;
-use thornbridge_core::gateway::{AttemptNote, GatewayChange, RequestNote};
+use thornbridge_core::gateway::{AttemptSummary, GatewayChange, RequestSummary};
 
 /// Shortest latency that has a bucket, in seconds.
 const SHORTEST_SECONDS: f64 = 0.001;
@@ -150,7 +150,7 @@
     }
 
     /// A request ended.
-    pub(super) fn finished(&self, note: &RequestNote) {
+    pub(super) fn finished(&self, note: &RequestSummary) {
         match note.coordinator {
             None => self.request(note),
             // Its coordinator counts the request.
@@ -172,7 +172,7 @@
         }
     }
 
-    fn request(&self, note: &RequestNote) {
+    fn request(&self, note: &RequestSummary) {
         let labels = RequestLabels {
             route: note.route.clone(),
             outcome: note.outcome.to_owned(),
@@ -186,7 +186,7 @@
         self.missing_parts.inc_by((note.of - note.parts) as u64);
     }
 
-    fn attempt(&self, attempt: &AttemptNote) {
+    fn attempt(&self, attempt: &AttemptSummary) {
         let labels = AttemptLabels {
             cause: attempt.cause.as_str().to_owned(),
             outcome: attempt.outcome.as_str().to_owned(),
@@ -197,29 +197,29 @@
     /// A state changed.
     pub(super) fn changed(&self, change: &GatewayChange) {
         let change = match change {
-            GatewayChange::ConfigurationInForce { .. } => "configuration_in_force",
+            GatewayChange::ConfigurationActivated { .. } => "configuration_in_force",
             GatewayChange::Evacuation {
                 evacuated: true, ..
             } => "zone_evacuated",
             GatewayChange::Evacuation { .. } => "zone_evacuation_over",
-            GatewayChange::RegistryKnown { .. } => "registry_known",
+            GatewayChange::RegistryLoaded { .. } => "registry_known",
             GatewayChange::StoreEra { .. } => "store_era",
-            GatewayChange::ObjectRefused { .. } => "object_refused",
+            GatewayChange::ObjectRejected { .. } => "object_refused",
             GatewayChange::Instance { state, .. } => state,
-            GatewayChange::Source {
+            GatewayChange::StoreReachability {
                 reachable: true, ..
             } => "store_reachable",
-            GatewayChange::Source { .. } => "store_unreachable",
-            GatewayChange::Trust { avoided: true, .. } => "server_avoided",
-            GatewayChange::Trust { .. } => "server_trusted",
-            GatewayChange::OwnersMissing { .. } => "owners_missing",
-            GatewayChange::Reading { reads: true, .. } => "store_reading",
-            GatewayChange::Reading { .. } => "store_following",
+            GatewayChange::StoreReachability { .. } => "store_unreachable",
+            GatewayChange::ServerAvoidance { avoided: true, .. } => "server_avoided",
+            GatewayChange::ServerAvoidance { .. } => "server_trusted",
+            GatewayChange::OwnersSilent { .. } => "owners_missing",
+            GatewayChange::StoreReader { reads: true, .. } => "store_reading",
+            GatewayChange::StoreReader { .. } => "store_following",
             GatewayChange::Scarcity { scarce: true, .. } => "connections_scarce",
             GatewayChange::Scarcity { .. } => "connections_plenty",
             GatewayChange::Quarantine { state, .. } => state,
             GatewayChange::Members { .. } => "members",
-            GatewayChange::BudgetSharers { .. } => "budget_sharers",
+            GatewayChange::BudgetMembers { .. } => "budget_sharers",
             GatewayChange::Lifecycle { state } => state,
         };
         let change = change.to_owned();
--- a/crates/thornbridge-node/src/gateway/server_reply.rs
+++ b/crates/thornbridge-node/src/gateway/server_reply.rs
@@ -26,7 +26,7 @@
     let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
     let whole_by_length = parts.version == Version::HTTP_11 && framed;
     let verdict = verdict(names, id, parts.status, &headers);
-    let reusable = whole_by_length && !closes(&headers) && verdict != ReplyVerdict::Spoilt;
+    let reusable = whole_by_length && !closes(&headers) && verdict != ReplyVerdict::Invalid;
     let keep_alive = keep_alive_seconds(&headers).map(Duration::from_secs);
     let load = load_of(names, &headers);
     let signature = signature_of(names, &headers);
@@ -54,7 +54,7 @@
         .get(&names.request_id)
         .is_some_and(|echoed| echoed != id);
     if foreign || headers.contains_key(CONTENT_ENCODING) {
-        return ReplyVerdict::Spoilt;
+        return ReplyVerdict::Invalid;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return ReplyVerdict::WrongInstance;
@@ -63,7 +63,7 @@
         return ReplyVerdict::NotRun;
     }
     if !headers.contains_key(&names.signature) {
-        return ReplyVerdict::Spoilt;
+        return ReplyVerdict::Invalid;
     }
     ReplyVerdict::Answer
 }
--- a/crates/thornbridge-node/src/gateway/store.rs
+++ b/crates/thornbridge-node/src/gateway/store.rs
@@ -110,7 +110,7 @@
             }
             Err(ended) => {
                 log::warn!(view = kind.as_str(), error:% = ended; "store answer dropped");
-                Err(SourceFailure::EndedEra)
+                Err(SourceFailure::StaleEra)
             }
         }
     }
--- a/crates/thornbridge-rehearsal/src/gateway/oracle.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/oracle.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use thornbridge_config::routes::RECORD_BYTES;
 use thornbridge_core::Timestamp;
-use thornbridge_core::gateway::{GatewayAnswer, RefusalPromise};
+use thornbridge_core::gateway::{GatewayAnswer, RefusalStatus};
 use thornbridge_proto::ServiceName;
 
 /// Time without disruption after which a node counts as in touch.
@@ -148,8 +148,8 @@
             return;
         }
         match answer {
-            GatewayAnswer::Refused { promise, .. } => {
-                asked.refused_not_run = *promise == RefusalPromise::NotRun;
+            GatewayAnswer::Refused { status, .. } => {
+                asked.refused_not_run = *status == RefusalStatus::NotRun;
             }
             GatewayAnswer::Forwarded { body, .. } => {
                 let own = format!("answer to {request}");
--- a/crates/thornbridge-rehearsal/src/gateway/oracle/tests.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/oracle/tests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 use thornbridge_core::Timestamp;
-use thornbridge_core::gateway::{GatewayAnswer, RefusalPromise, RefusalReason};
+use thornbridge_core::gateway::{GatewayAnswer, RefusalReason, RefusalStatus};
 use thornbridge_proto::ServiceName;
 
 const REQUEST: u64 = 7;
@@ -152,7 +152,7 @@
     oracle.arrivals = vec![arrival(1, 1, true), arrival(2, 1, true)];
     let refused = GatewayAnswer::Refused {
         reason: RefusalReason::ServersBusy,
-        promise: RefusalPromise::NotRun,
+        status: RefusalStatus::NotRun,
         retry_after: None,
     };
     oracle.answered(at(50), REQUEST, &refused, 0.9);
--- a/crates/thornbridge-rehearsal/src/gateway/store.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/store.rs
@@ -142,7 +142,7 @@
             return;
         }
         let revision = self.next();
-        let object = ViewObject::Departed(revision, id.clone());
+        let object = ViewObject::InstanceRemoved(revision, id.clone());
         self.record(revision, ViewKind::Registry, object);
     }
 
@@ -157,8 +157,8 @@
         }
         let revision = self.next();
         let object = match evacuated {
-            true => ViewObject::Evacuated(zone),
-            false => ViewObject::EvacuationOver(zone),
+            true => ViewObject::EvacuationStarted(zone),
+            false => ViewObject::EvacuationEnded(zone),
         };
         self.record(revision, ViewKind::Evacuations, object);
     }
@@ -192,7 +192,7 @@
             }
             ViewKind::Evacuations => {
                 let zones = self.evacuated.iter().cloned();
-                whole(zones.map(ViewObject::Evacuated).collect())
+                whole(zones.map(ViewObject::EvacuationStarted).collect())
             }
             ViewKind::Registry => self.page_of_servers(after.unwrap_or_default()),
         }
@@ -229,7 +229,7 @@
             return None;
         }
         if from.number < self.floor || from.number > self.revision {
-            return Some(Err(SourceFailure::HistoryGone));
+            return Some(Err(SourceFailure::HistoryCompacted));
         }
         let objects: Vec<ViewObject> = self
             .events
--- a/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
@@ -78,23 +78,23 @@
                 self.schedule(STORE_TIME, call);
             }
             GatewayAction::SendPeer { to, message } => self.send_to_peer(node, to, message),
-            GatewayAction::AskOwner { to, caller, task } => {
+            GatewayAction::SendTask { to, caller, task } => {
                 let request = SharedBytes::from(caller.0.to_le_bytes().to_vec());
                 let task = *task;
                 let message = PeerMessage::Slice(SliceMessage::Ask { task, request });
                 self.send_to_peer(node, to, message);
             }
-            GatewayAction::Adopt { caller, relayed } => {
+            GatewayAction::KeepRelayed { caller, relayed } => {
                 let number = <[u8; 8]>::try_from(relayed.as_slice());
                 let number = number.expect("a request's number");
                 let adopted = &mut self.machines[node].adopted;
                 adopted.insert(caller, u64::from_le_bytes(number));
             }
-            GatewayAction::Release { caller } => {
+            GatewayAction::ReleaseRelayed { caller } => {
                 self.machines[node].adopted.remove(&caller);
             }
             GatewayAction::SetReady { ready } => self.machines[node].ready = ready,
-            GatewayAction::Changed(GatewayChange::ConfigurationInForce { version, .. }) => {
+            GatewayAction::Changed(GatewayChange::ConfigurationActivated { version, .. }) => {
                 self.in_force(node, version.0);
             }
             GatewayAction::Changed(GatewayChange::Instance { id, state, .. }) => {
@@ -377,7 +377,7 @@
         };
         self.report.failed += u64::from(self.is_ordinary(left.content));
         let (node, life) = left.node;
-        let gone = GatewayEvent::CallerGone {
+        let gone = GatewayEvent::CallerDisconnected {
             caller: Self::caller_id(request),
         };
         let delay = self.caller_way();
--- a/crates/thornbridge-rehearsal/src/gateway/world/processor.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/processor.rs
@@ -96,7 +96,7 @@
         GatewayAction::Send { .. }
             | GatewayAction::Answer { .. }
             | GatewayAction::SendPeer { .. }
-            | GatewayAction::AskOwner { .. }
+            | GatewayAction::SendTask { .. }
             | GatewayAction::Open { .. }
             | GatewayAction::Read { .. }
     )
--- a/crates/thornbridge-rehearsal/src/gateway/world/serving.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/serving.rs
@@ -74,7 +74,7 @@
             return;
         }
         if self.random.random_bool(self.spoilt_share) {
-            let reply = plain_reply(ReplyVerdict::Spoilt, 200);
+            let reply = plain_reply(ReplyVerdict::Invalid, 200);
             self.reply(sent, reply, end);
             return;
         }
@@ -290,7 +290,7 @@
         body: Bytes::new(),
         verdict,
         load: None,
-        reusable: verdict != ReplyVerdict::Spoilt,
+        reusable: verdict != ReplyVerdict::Invalid,
         keep_alive: None,
     }
 }
