--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -53,8 +53,8 @@
 
 /// Multiple of the answer delay reserved per request: inbound and outbound queueing.
 const ANSWER_DELAY_FACTOR: u32 = 3;
-/// Assumed patience of a caller that states none.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+/// Caller timeout assumed if the caller states none.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// State borrowed from the gateway for one call.
 pub(super) struct Context<'a> {
@@ -292,7 +292,7 @@
         arrived: Timestamp,
     ) -> Deadlines {
         let parameters = &self.parameters;
-        let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
+        let patience = head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let statistics = context.routes.statistics(route.key);
         statistics.patience.observe(patience);
         let spent = statistics.patience.spent(patience);
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -60,7 +60,7 @@
     }
 
     /// Refuses a slice of a request that crashes servers. The crash record is sent first, so that
-    /// the coordinator does not ask another owner.
+    /// the coordinator does not delegate the slice again.
     pub(super) fn refuse_crashing_slice(
         &self,
         context: &mut Context<'_>,
--- a/crates/thornbridge-core/src/gateway/pending.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -2,7 +2,7 @@
 //!
 //! A starting node learns the configuration within milliseconds unless the store is unavailable. A
 //! caller's first try is refused with a retry time: at once if it is known to be the first,
-//! otherwise after a share of its patience. A caller's retry is kept until its patience ends,
+//! otherwise after a share of the caller timeout. A caller's retry is kept until its timeout ends,
 //! because the caller will not retry again.
 
 use super::caller_try::{CallerTry, PatienceByKind};
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Assumed patience of a caller that states none.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(3);
+/// Caller timeout assumed if the caller states none.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time after start within which the views arrive if the store answers.
-const VIEW_LOAD_TIME: Duration = Duration::from_millis(150);
-/// Share of the patience after which a caller's retry cannot be served any more.
-const RETRY_PATIENCE_SHARE: f64 = 0.97;
+const VIEW_LOAD_GRACE: Duration = Duration::from_millis(150);
+/// Share of the caller timeout after which a caller's retry cannot be served any more.
+const RETRY_TIMEOUT_SHARE: f64 = 0.97;
 
 /// A request that waits for a configuration.
 #[derive(Clone, Debug)]
@@ -29,13 +29,13 @@
 }
 
 impl PendingRequest {
-    fn patience(&self) -> Duration {
-        self.head.patience.unwrap_or(DEFAULT_PATIENCE)
+    fn caller_timeout(&self) -> Duration {
+        self.head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT)
     }
 
     /// When the request cannot be served any more.
-    fn patience_deadline(&self) -> Timestamp {
-        self.arrived + self.patience().mul_f64(RETRY_PATIENCE_SHARE)
+    fn timeout_deadline(&self) -> Timestamp {
+        self.arrived + self.caller_timeout().mul_f64(RETRY_TIMEOUT_SHARE)
     }
 }
 
@@ -43,12 +43,12 @@
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<CallerId, PendingRequest>,
-    patience: PatienceByKind,
+    timeouts: PatienceByKind,
 }
 
 impl PendingRequests {
-    /// Adds a request that waits for `share` of its patience unless it is a caller's retry. Returns
-    /// the request if its caller is to be refused at once.
+    /// Adds a request that waits for `share` of its caller timeout unless it is a caller's retry.
+    /// Returns the request if its caller is to be refused at once.
     #[must_use]
     pub(super) fn add(
         &mut self,
@@ -57,16 +57,16 @@
         head: RequestHead,
         share: f64,
     ) -> Option<PendingRequest> {
-        let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
-        self.patience.observe(&head, patience);
+        let caller_timeout = head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        self.timeouts.observe(&head, caller_timeout);
         let request = PendingRequest {
             caller,
             head,
             arrived: now,
-            expires_at: now + patience.mul_f64(share),
+            expires_at: now + caller_timeout.mul_f64(share),
         };
         let first = self.classify(&request) == CallerTry::First;
-        if first && now.since_epoch() >= VIEW_LOAD_TIME {
+        if first && now.since_epoch() >= VIEW_LOAD_GRACE {
             return Some(request);
         }
         self.requests.insert(caller, request);
@@ -75,7 +75,7 @@
 
     /// Which try of its caller a request is.
     pub(super) fn classify(&self, request: &PendingRequest) -> CallerTry {
-        self.patience.judge(&request.head, request.patience())
+        self.timeouts.judge(&request.head, request.caller_timeout())
     }
 
     pub(super) fn len(&self) -> usize {
@@ -96,16 +96,16 @@
     }
 
     /// Removes and returns the expired requests. A caller's retry is extended to the end of its
-    /// patience.
+    /// caller timeout.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<PendingRequest> {
-        let patience = &self.patience;
+        let timeouts = &self.timeouts;
         for request in self.requests.values_mut() {
-            let patience_deadline = request.patience_deadline();
-            if request.expires_at > now || request.expires_at >= patience_deadline {
+            let timeout_deadline = request.timeout_deadline();
+            if request.expires_at > now || request.expires_at >= timeout_deadline {
                 continue;
             }
-            if patience.judge(&request.head, request.patience()) == CallerTry::Retry {
-                request.expires_at = patience_deadline;
+            if timeouts.judge(&request.head, request.caller_timeout()) == CallerTry::Retry {
+                request.expires_at = timeout_deadline;
             }
         }
         let expired = self
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Suspends division because most owners are silent, for longer each time in a row. Returns the
-    /// length of the suspension, or `None` if one is in force.
+    /// length of the suspension, or `None` if one is active.
     pub(super) fn suspend_division(&mut self, now: Timestamp) -> Option<Duration> {
         if now < self.suspended_until {
             return None;
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -50,7 +50,7 @@
 }
 
 impl Slices {
-    /// Rebuilds the plans of the routes in force; returns the ownership of services.
+    /// Rebuilds the plans of the active routes; returns the ownership of services.
     pub(in crate::gateway) fn divide(
         &mut self,
         routes: &RouteTable,
@@ -61,7 +61,7 @@
         owned
     }
 
-    /// Ownership of services under routes that are not in force yet.
+    /// Ownership of services under staged routes.
     pub(in crate::gateway) fn staged_ownership(
         &self,
         routes: &RouteTable,
--- a/crates/thornbridge-core/src/gateway/tests/grants.rs
+++ b/crates/thornbridge-core/src/gateway/tests/grants.rs
@@ -109,7 +109,7 @@
 /// Gather that cannot be answered without a slice whose two owners are silent.
 fn slice_with_two_silent_owners(patience: Duration) -> (Harness, CallerId) {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    // Teaches the route the patience of first tries.
+    // Lets the route learn the caller timeout of first tries.
     for _ in 0..20 {
         harness.ask_with("/search/1", millis(800));
         let tasks = std::mem::take(&mut harness.tasks);
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -41,7 +41,7 @@
 #[test]
 fn first_try_is_refused_at_once_without_views() {
     let mut harness = gateway_without_views();
-    // Two requests that state the longest patience identify it as that of first tries.
+    // Two requests with the longest caller timeout identify it as that of first tries.
     harness.ask("/x/1");
     harness.ask("/x/2");
     let caller = harness.ask("/x/3");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn patience_counts_from_arrival() {
+fn caller_timeout_counts_from_arrival() {
     let mut harness = gateway_without_views();
     let caller = harness.ask_with("/x/1", millis(1_400));
     harness.wait(millis(200));
