--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -8,7 +8,7 @@
 use crate::gateway::action::GatewayAction;
 use crate::gateway::event::{ExchangeFailure, ReplyVerdict, ServerReply};
 use crate::gateway::routes::RouteKey;
-use crate::gateway::servers::{Loss, ServerKey};
+use crate::gateway::servers::{ConnectionLoss, ServerKey};
 use crate::gateway::telemetry::{AttemptCause, AttemptOutcome, AttemptSummary, GatewayChange};
 use crate::time::Timestamp;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         }
         self.attempt_ended(context, attempt, &record, outcome, Some(reply));
         self.serve_queue(context, server);
-        context.servers.forget_if_over(server);
+        context.servers.remove_if_unused(server);
     }
 
     /// Handles an attempt that ended without a reply.
@@ -87,7 +87,7 @@
         }
         self.attempt_ended(context, attempt, &record, outcome, None);
         self.serve_queue(context, server);
-        context.servers.forget_if_over(server);
+        context.servers.remove_if_unused(server);
     }
 
     /// Dispatches waiting parts on a new connection.
@@ -118,13 +118,13 @@
         let Some((server, loss)) = context.servers.lost(context.now, connection) else {
             return;
         };
-        if loss == Loss::Unreachable {
+        if loss == ConnectionLoss::Unreachable {
             self.report_avoidance(context, server, "unreachable");
         }
-        if loss != Loss::Rested {
+        if loss != ConnectionLoss::Idle {
             self.reassign_queued(context, server);
         }
-        context.servers.forget_if_over(server);
+        context.servers.remove_if_unused(server);
     }
 
     /// Requeues the parts waiting for a server that accepts no new requests.
@@ -134,7 +134,7 @@
         server: ServerKey,
     ) {
         self.reassign_queued(context, server);
-        context.servers.forget_if_over(server);
+        context.servers.remove_if_unused(server);
     }
 
     /// Cancels an attempt of a finished request.
@@ -151,7 +151,7 @@
             "no_answer",
         );
         self.serve_queue(context, server);
-        context.servers.forget_if_over(server);
+        context.servers.remove_if_unused(server);
     }
 
     /// Detaches the attempts of a finished request and schedules their cancellation.
@@ -164,7 +164,7 @@
         let suspect = (!request.has_answer()).then_some(request.fingerprint);
         for (index, part) in request.parts.iter().enumerate() {
             if let PartState::Queued(server, _) = part.state {
-                context.servers.stop_waiting(server, request.caller, index);
+                context.servers.remove_queued(server, request.caller, index);
             }
             for attempt in &part.in_flight {
                 if let Some(record) = self.attempts.get_mut(attempt) {
@@ -285,7 +285,7 @@
                 let work = took.saturating_sub(server.round_trip());
                 let speed = server.speed(&parameters, now);
                 if let Some(mean_work) = mean_work {
-                    server.observe_speed(&parameters, now, work, mean_work);
+                    server.observe_slowdown(&parameters, now, work, mean_work);
                 }
                 let normalized = work.div_f64(speed.max(0.1));
                 let statistics = context.routes.statistics(record.route);
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -5,7 +5,7 @@
 use super::request::Request;
 use super::{AttemptTarget, Context, Exchanges, is_repeatable};
 use crate::gateway::action::GatewayAction;
-use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
+use crate::gateway::servers::{AcquireOutcome, Choice, QueuedPart, ServerKey};
 use crate::gateway::telemetry::AttemptCause;
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
@@ -92,22 +92,22 @@
     ) {
         match context
             .servers
-            .connection_for(context.now, context.actions, server)
+            .acquire_connection(context.now, context.actions, server)
         {
-            OpenOutcome::Resting(connection) => {
+            AcquireOutcome::Idle(connection) => {
                 let target = AttemptTarget { server, connection };
                 self.send(context, request, index, target, cause);
             }
-            OpenOutcome::Wait => {
+            AcquireOutcome::Pending => {
                 let expected = self.expected_latency(context, request, server);
-                let waiting = Waiting {
+                let waiting = QueuedPart {
                     caller: request.caller,
                     part: index,
                     send_by: request.soft_deadline - expected,
-                    ends: request.deadline,
+                    deadline: request.deadline,
                 };
                 if let Some(server) = context.servers.get_mut(server) {
-                    server.waiting.push(waiting);
+                    server.queue.push(waiting);
                 }
                 let wait = self.hedge_delay(context, request, server);
                 let part = &mut request.parts[index];
@@ -211,12 +211,12 @@
         let Some(other) = other.filter(|other| !other.silent) else {
             context
                 .servers
-                .open_for_waiting(context.now, context.actions, queued_at);
+                .open_for_queued(context.now, context.actions, queued_at);
             return;
         };
         context
             .servers
-            .stop_waiting(queued_at, request.caller, index);
+            .remove_queued(queued_at, request.caller, index);
         let part = &mut request.parts[index];
         part.state = PartState::NeedsAttempt(cause);
         // The budget was charged for an extra attempt when the part was first queued.
@@ -274,10 +274,10 @@
                 return;
             };
             let accepts_requests = server.takes_requests();
-            if accepts_requests && server.resting.is_empty() {
+            if accepts_requests && server.idle.is_empty() {
                 return;
             }
-            let Some(waiting) = context.servers.next_waiting(context.now, key) else {
+            let Some(waiting) = context.servers.dequeue(context.now, key) else {
                 return;
             };
             self.serve_queued_part(context, key, waiting, accepts_requests);
@@ -288,7 +288,7 @@
         &mut self,
         context: &mut Context<'_>,
         key: ServerKey,
-        waiting: Waiting,
+        waiting: QueuedPart,
         server_accepts: bool,
     ) {
         let Some(mut request) = self.requests.remove(&waiting.caller) else {
@@ -323,10 +323,10 @@
     ) {
         if server_accepts
             && Self::may_send_now(context, request)
-            && let OpenOutcome::Resting(connection) =
+            && let AcquireOutcome::Idle(connection) =
                 context
                     .servers
-                    .connection_for(context.now, context.actions, server)
+                    .acquire_connection(context.now, context.actions, server)
         {
             let target = AttemptTarget { server, connection };
             self.send(context, request, index, target, cause);
@@ -340,7 +340,7 @@
     /// Moves the parts queued for a server that is leaving or unreachable to other servers.
     pub(super) fn reassign_queued(&mut self, context: &mut Context<'_>, key: ServerKey) {
         let mut displaced = Vec::new();
-        while let Some(waiting) = context.servers.next_waiting(context.now, key) {
+        while let Some(waiting) = context.servers.dequeue(context.now, key) {
             displaced.push(waiting);
         }
         for waiting in displaced {
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -5,7 +5,7 @@
 
 use super::request::Request;
 use super::{AttemptTarget, Context, Exchanges};
-use crate::gateway::servers::{OpenOutcome, ServerKey};
+use crate::gateway::servers::{AcquireOutcome, ServerKey};
 use crate::gateway::telemetry::AttemptCause;
 use std::time::Duration;
 
@@ -44,9 +44,9 @@
         // and the next check uses it.
         match context
             .servers
-            .connection_for(context.now, context.actions, choice.server)
+            .acquire_connection(context.now, context.actions, choice.server)
         {
-            OpenOutcome::Resting(connection) => {
+            AcquireOutcome::Idle(connection) => {
                 if !context.budget.try_take(context.now, service) {
                     return;
                 }
@@ -54,7 +54,7 @@
                 let target = AttemptTarget { server, connection };
                 self.send(context, request, index, target, AttemptCause::Hedge);
             }
-            OpenOutcome::Wait => {
+            AcquireOutcome::Pending => {
                 request.parts[index].check_at = Some(context.now + self.parameters.look_interval);
             }
         }
@@ -94,7 +94,7 @@
         server: ServerKey,
         work: Duration,
     ) -> Duration {
-        let Some(round_trip) = context.servers.round_trip_beside(server) else {
+        let Some(round_trip) = context.servers.nearest_other_round_trip(server) else {
             return Duration::ZERO;
         };
         let needed = round_trip + work;
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -114,7 +114,7 @@
         }
         for index in 0..request.parts.len() {
             if let Some((server, _)) = request.parts[index].queued_at() {
-                context.servers.stop_waiting(server, request.caller, index);
+                context.servers.remove_queued(server, request.caller, index);
             }
             if !request.parts[index].is_finished() {
                 request.parts[index].state = PartState::Failed;
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -86,7 +86,7 @@
     ) {
         let services = task.shards.iter();
         let services: Vec<_> = services
-            .map(|name| context.servers.known_service(name))
+            .map(|name| context.servers.find_service(name))
             .collect();
         if self.served_slices.contains_key(&(coordinator, task.slice)) {
             // The slice is already in flight, so a refusal would be wrong.
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -270,7 +270,7 @@
         }
         let shards = self.routes.shards();
         let warm = |shard| self.servers.is_warm(shard) || !self.servers.has_server(shard);
-        self.servers.taking_requests() > 0 && shards.into_iter().all(warm)
+        self.servers.available_count() > 0 && shards.into_iter().all(warm)
     }
 
     fn request(&mut self, caller: CallerId, head: RequestHead) {
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::servers::Sharer;
+use super::servers::MemberLocation;
 use super::telemetry::GatewayChange;
 use crate::context::Context;
 use crate::driver_action::Action;
@@ -57,7 +57,7 @@
         let endpoints = view.members().iter().map(|member| member.endpoint);
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
-        let sharers: Vec<Sharer> = view.accepting_work().map(sharer).collect();
+        let sharers: Vec<MemberLocation> = view.accepting_work().map(sharer).collect();
         let position = sharers.iter().position(|member| member.address == own);
         let rank = position.unwrap_or(sharers.len());
         self.freshness.set_rank(rank);
@@ -69,7 +69,7 @@
         self.update_budget_sharers(members);
         self.slices.set_members(sharers.clone());
         self.division_stale = true;
-        self.servers.set_sharers(self.now, sharers);
+        self.servers.set_members(self.now, sharers);
         if members != self.members {
             self.members = members;
             let change = GatewayChange::Members { members };
@@ -78,8 +78,8 @@
     }
 }
 
-fn sharer(member: &MemberRecord) -> Sharer {
-    Sharer {
+fn sharer(member: &MemberRecord) -> MemberLocation {
+    MemberLocation {
         address: member.endpoint.address,
         zone: member.zone.clone(),
     }
--- a/crates/thornbridge-core/src/gateway/servers/choosing.rs
+++ b/crates/thornbridge-core/src/gateway/servers/choosing.rs
@@ -93,7 +93,7 @@
         let limit = self.services[server.service.0 as usize].own_connections;
         // The node's connection limit may be lower than the server's slots.
         let concurrency = server.slots.min(limit.max(1));
-        let queue = server.queue(now, concurrency) / f64::from(concurrency);
+        let queue = server.queue_length(now, concurrency) / f64::from(concurrency);
         let mut cost = server.round_trip() + work.mul_f64(speed * (1.0 + queue));
         cost += match server.distance {
             Distance::SameZone => Duration::ZERO,
@@ -105,7 +105,7 @@
         if silent {
             cost += parameters.silence_cost;
         }
-        if server.resting.is_empty() && server.open + server.opening < limit.max(1) {
+        if server.idle.is_empty() && server.open + server.opening < limit.max(1) {
             cost += server.round_trip() + ACCEPT_TIME;
         }
         if matches!(server.availability, Availability::Vanished { .. }) {
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -3,7 +3,7 @@
 //! Guards against exceeding a server's connection limit, which all nodes share, and against
 //! connection churn: accepting a connection occupies a slot of the server for a moment.
 
-use super::queue::Waiting;
+use super::queue::QueuedPart;
 use super::server::{Availability, IdleConnection, Server};
 use super::{ServerKey, Servers};
 use crate::driver_action::{CallerId, ConnectionId};
@@ -40,11 +40,11 @@
 
 /// Result of acquiring a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::gateway) enum OpenOutcome {
+pub(in crate::gateway) enum AcquireOutcome {
     /// An idle connection is available.
-    Resting(ConnectionId),
+    Idle(ConnectionId),
     /// No connection is idle; one is opening or will be released.
-    Wait,
+    Pending,
 }
 
 impl Servers {
@@ -72,35 +72,35 @@
     }
 
     /// Takes an idle connection of the server, or opens one if the limit allows it.
-    pub(in crate::gateway) fn connection_for(
+    pub(in crate::gateway) fn acquire_connection(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
         key: ServerKey,
-    ) -> OpenOutcome {
+    ) -> AcquireOutcome {
         self.close_expired_idle(now, actions, key);
         let Some(server) = self.servers.get_mut(&key) else {
-            return OpenOutcome::Wait;
+            return AcquireOutcome::Pending;
         };
-        if let Some(resting) = server.resting.pop() {
-            return OpenOutcome::Resting(resting.connection);
+        if let Some(idle) = server.idle.pop() {
+            return AcquireOutcome::Idle(idle.connection);
         }
-        let needed = server.waiting.len() as u32 + 1;
+        let needed = server.queue.len() as u32 + 1;
         if server.opening < needed {
             self.open(now, actions, key);
         }
-        OpenOutcome::Wait
+        AcquireOutcome::Pending
     }
 
     /// Opens a connection if more parts are queued than connections are opening.
-    pub(in crate::gateway) fn open_for_waiting(
+    pub(in crate::gateway) fn open_for_queued(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
         key: ServerKey,
     ) {
         let server = self.servers.get(&key);
-        if server.is_some_and(|server| server.opening < server.waiting.len() as u32) {
+        if server.is_some_and(|server| server.opening < server.queue.len() as u32) {
             self.open(now, actions, key);
         }
     }
@@ -225,9 +225,7 @@
         } else {
             server.opening = server.opening.saturating_sub(1);
         }
-        server
-            .resting
-            .retain(|resting| resting.connection != connection);
+        server.idle.retain(|idle| idle.connection != connection);
         Some(entry)
     }
 
@@ -271,7 +269,7 @@
         };
         let announced = keep_alive.map(usable_keep_alive);
         let idle_time = announced.map_or(idle_limit, |announced| announced.min(idle_limit));
-        server.resting.push(IdleConnection {
+        server.idle.push(IdleConnection {
             connection,
             since: now,
             expires_at: now + idle_time,
@@ -292,7 +290,7 @@
     /// Removes a closed connection, and its server if that is drained.
     pub(in crate::gateway) fn discard_connection(&mut self, connection: ConnectionId) {
         if let Some(entry) = self.remove_connection(connection) {
-            self.forget_if_over(entry.server);
+            self.remove_if_unused(entry.server);
         }
     }
 
@@ -311,8 +309,8 @@
         if !server.is_leaving() {
             return;
         }
-        for resting in std::mem::take(&mut server.resting) {
-            self.close(actions, resting.connection);
+        for idle in std::mem::take(&mut server.idle) {
+            self.close(actions, idle.connection);
         }
     }
 
@@ -327,10 +325,11 @@
             return;
         };
         let parameters = &self.parameters;
-        let expired = server.resting.iter().filter(|resting| {
-            resting.expires_at <= now || server.may_be_dead(parameters, now, resting)
-        });
-        let expired: Vec<ConnectionId> = expired.map(|resting| resting.connection).collect();
+        let expired = server
+            .idle
+            .iter()
+            .filter(|idle| idle.expires_at <= now || server.may_be_dead(parameters, now, idle));
+        let expired: Vec<ConnectionId> = expired.map(|idle| idle.connection).collect();
         for connection in expired {
             self.close(actions, connection);
             if let Some(server) = self.servers.get_mut(&key) {
@@ -340,23 +339,23 @@
     }
 
     /// Takes the next part off the server's queue.
-    pub(in crate::gateway) fn next_waiting(
+    pub(in crate::gateway) fn dequeue(
         &mut self,
         now: Timestamp,
         key: ServerKey,
-    ) -> Option<Waiting> {
-        self.servers.get_mut(&key)?.waiting.pop(now)
+    ) -> Option<QueuedPart> {
+        self.servers.get_mut(&key)?.queue.pop(now)
     }
 
     /// Removes a part from the server's queue.
-    pub(in crate::gateway) fn stop_waiting(
+    pub(in crate::gateway) fn remove_queued(
         &mut self,
         key: ServerKey,
         caller: CallerId,
         part: usize,
     ) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.waiting.remove(caller, part);
+            server.queue.remove(caller, part);
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -19,21 +19,21 @@
 
 /// Classification of a lost connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::gateway) enum Loss {
+pub(in crate::gateway) enum ConnectionLoss {
     /// The connection could not be opened.
     Unreachable,
     /// The connection was reset right after opening: the server is over its connection limit.
     Refused,
     /// The connection was closed after use or after some time idle.
-    Rested,
+    Idle,
 }
 
 impl Connection {
-    fn loss(&self, now: Timestamp) -> Loss {
+    fn loss(&self, now: Timestamp) -> ConnectionLoss {
         match self.opened_at {
-            None => Loss::Unreachable,
-            Some(at) if !self.used && now.since(at) < REFUSAL_WINDOW => Loss::Refused,
-            Some(_) => Loss::Rested,
+            None => ConnectionLoss::Unreachable,
+            Some(at) if !self.used && now.since(at) < REFUSAL_WINDOW => ConnectionLoss::Refused,
+            Some(_) => ConnectionLoss::Idle,
         }
     }
 }
@@ -87,7 +87,7 @@
             false => self.parameters.idle_time,
         };
         if let Some(server) = self.servers.get_mut(&key) {
-            server.resting.push(IdleConnection {
+            server.idle.push(IdleConnection {
                 connection,
                 since: now,
                 expires_at: now + idle_time,
@@ -101,15 +101,15 @@
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
-    ) -> Option<(ServerKey, Loss)> {
+    ) -> Option<(ServerKey, ConnectionLoss)> {
         let entry = self.remove_connection(connection)?;
         let loss = entry.loss(now);
-        if loss == Loss::Refused {
+        if loss == ConnectionLoss::Refused {
             self.scarcity.refused(now);
         }
         let parameters = &self.parameters;
         let server = self.servers.get_mut(&entry.server)?;
-        if loss == Loss::Unreachable {
+        if loss == ConnectionLoss::Unreachable {
             server.failed(parameters, now, parameters.unreachable_cost);
         }
         if !entry.used && entry.opened_at.is_some() {
@@ -128,7 +128,7 @@
     /// Records a connection that broke while it carried an attempt.
     pub(in crate::gateway) fn broke(&mut self, now: Timestamp, connection: ConnectionId) {
         let known = self.connections.get(&connection);
-        if known.is_some_and(|entry| entry.loss(now) == Loss::Refused) {
+        if known.is_some_and(|entry| entry.loss(now) == ConnectionLoss::Refused) {
             self.scarcity.refused(now);
         }
         self.discard_connection(connection);
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -14,13 +14,13 @@
 mod subset;
 
 pub(super) use choosing::Choice;
-pub(super) use connections::{Connection, OpenOutcome};
-pub(super) use lifecycle::Loss;
-pub(super) use queue::Waiting;
+pub(super) use connections::{AcquireOutcome, Connection};
+pub(super) use lifecycle::ConnectionLoss;
 #[cfg(test)]
-pub(super) use queue::WaitingQueue;
+pub(super) use queue::PartQueue;
+pub(super) use queue::QueuedPart;
 pub(super) use server::{Availability, Server};
-pub(super) use subset::Sharer;
+pub(super) use subset::MemberLocation;
 
 use super::action::GatewayAction;
 use super::budget::ServiceKey;
@@ -124,7 +124,7 @@
     }
 
     /// Key of a service, if it is known.
-    pub(super) fn known_service(&self, name: &ServiceName) -> Option<ServiceKey> {
+    pub(super) fn find_service(&self, name: &ServiceName) -> Option<ServiceKey> {
         self.service_names.get(name).copied()
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Round trip to the nearest other server of the same service.
-    pub(super) fn round_trip_beside(&self, key: ServerKey) -> Option<Duration> {
+    pub(super) fn nearest_other_round_trip(&self, key: ServerKey) -> Option<Duration> {
         let service = self.servers.get(&key)?.service;
         let keys = self.services[service.0 as usize].servers.iter();
         let others = keys.filter(|other| **other != key);
@@ -214,7 +214,7 @@
     }
 
     /// Number of servers that may get requests.
-    pub(super) fn taking_requests(&self) -> usize {
+    pub(super) fn available_count(&self) -> usize {
         let servers = self.servers.values();
         servers.filter(|server| server.takes_requests()).count()
     }
@@ -246,10 +246,10 @@
     }
 
     /// Servers that take no new requests and still have queued parts.
-    pub(super) fn leaving_with_waiting(&self) -> Vec<ServerKey> {
-        let leaving = |server: &Server| !server.takes_requests() && !server.waiting.is_empty();
+    pub(super) fn unavailable_with_queued(&self) -> Vec<ServerKey> {
+        let unavailable = |server: &Server| !server.takes_requests() && !server.queue.is_empty();
         let servers = self.servers.iter();
-        let found = servers.filter(|(_, server)| leaving(server));
+        let found = servers.filter(|(_, server)| unavailable(server));
         found.map(|(key, _)| *key).collect()
     }
 
@@ -275,19 +275,19 @@
                 self.subset.invalidate(server.service);
             }
             self.close_idle_if_leaving(actions, key);
-            self.forget_if_over(key);
+            self.remove_if_unused(key);
         }
     }
 
     /// Removes a gone server once it has no attempts, connections or queued parts.
-    pub(super) fn forget_if_over(&mut self, key: ServerKey) {
+    pub(super) fn remove_if_unused(&mut self, key: ServerKey) {
         let Some(server) = self.servers.get(&key) else {
             return;
         };
         let drained = server.availability == Availability::Gone
             && server.outstanding.is_empty()
             && server.open + server.opening == 0
-            && server.waiting.is_empty();
+            && server.queue.is_empty();
         if !drained {
             return;
         }
--- a/crates/thornbridge-core/src/gateway/servers/queue.rs
+++ b/crates/thornbridge-core/src/gateway/servers/queue.rs
@@ -10,23 +10,23 @@
 
 /// A part of a request that waits for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Waiting {
+pub(in crate::gateway) struct QueuedPart {
     pub(in crate::gateway) caller: CallerId,
     pub(in crate::gateway) part: usize,
     /// Latest time of sending at which the answer is expected to be in time.
     pub(in crate::gateway) send_by: Timestamp,
     /// Deadline of the request.
-    pub(in crate::gateway) ends: Timestamp,
+    pub(in crate::gateway) deadline: Timestamp,
 }
 
 /// The queued parts of one server.
 #[derive(Debug, Default)]
-pub(in crate::gateway) struct WaitingQueue {
+pub(in crate::gateway) struct PartQueue {
     /// In order of arrival.
-    parts: Vec<Waiting>,
+    parts: Vec<QueuedPart>,
 }
 
-impl WaitingQueue {
+impl PartQueue {
     pub(in crate::gateway) fn len(&self) -> usize {
         self.parts.len()
     }
@@ -35,18 +35,18 @@
         self.parts.is_empty()
     }
 
-    pub(in crate::gateway) fn push(&mut self, part: Waiting) {
+    pub(in crate::gateway) fn push(&mut self, part: QueuedPart) {
         self.parts.push(part);
     }
 
     /// Removes and returns the part to send next.
-    pub(in crate::gateway) fn pop(&mut self, now: Timestamp) -> Option<Waiting> {
+    pub(in crate::gateway) fn pop(&mut self, now: Timestamp) -> Option<QueuedPart> {
         let parts = self.parts.iter().enumerate();
         let in_time = parts.filter(|(_, part)| part.send_by >= now);
         let most_urgent = in_time.min_by_key(|(_, part)| part.send_by);
         let parts = self.parts.iter().enumerate();
-        let first_to_end = || parts.min_by_key(|(_, part)| part.ends);
-        let (index, _) = most_urgent.or_else(first_to_end)?;
+        let earliest_deadline = || parts.min_by_key(|(_, part)| part.deadline);
+        let (index, _) = most_urgent.or_else(earliest_deadline)?;
         Some(self.parts.remove(index))
     }
 
--- a/crates/thornbridge-core/src/gateway/servers/registering.rs
+++ b/crates/thornbridge-core/src/gateway/servers/registering.rs
@@ -70,7 +70,7 @@
             origin,
         }));
         self.close_idle_if_leaving(actions, key);
-        self.forget_if_over(key);
+        self.remove_if_unused(key);
         None
     }
 
@@ -111,7 +111,7 @@
             origin,
         }));
         self.close_idle_if_leaving(actions, key);
-        self.forget_if_over(key);
+        self.remove_if_unused(key);
     }
 
     fn add(&mut self, now: Timestamp, instance: &Instance) -> ServerKey {
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -1,6 +1,6 @@
 //! State of one server: registration, statistics, connections and in-flight attempts.
 
-use super::queue::WaitingQueue;
+use super::queue::PartQueue;
 use super::rejections::Rejections;
 use crate::driver_action::ConnectionId;
 use crate::gateway::budget::ServiceKey;
@@ -112,8 +112,8 @@
     /// Whether to connect ahead of use; cleared when the last connection expired unused.
     pub(in crate::gateway) preconnect: bool,
     pub(in crate::gateway) outstanding: Vec<Outstanding>,
-    pub(in crate::gateway) waiting: WaitingQueue,
-    pub(in crate::gateway) resting: Vec<IdleConnection>,
+    pub(in crate::gateway) queue: PartQueue,
+    pub(in crate::gateway) idle: Vec<IdleConnection>,
     pub(in crate::gateway) open: u32,
     pub(in crate::gateway) opening: u32,
     pub(in crate::gateway) reconnect_at: Timestamp,
@@ -151,8 +151,8 @@
             in_subset: false,
             preconnect: true,
             outstanding: Vec::new(),
-            waiting: WaitingQueue::default(),
-            resting: Vec::new(),
+            queue: PartQueue::default(),
+            idle: Vec::new(),
             open: 0,
             opening: 0,
             reconnect_at: now,
@@ -239,7 +239,7 @@
     }
 
     /// Records a processing time of `work` for a request that usually takes `usual`.
-    pub(in crate::gateway) fn observe_speed(
+    pub(in crate::gateway) fn observe_slowdown(
         &mut self,
         parameters: &ServerParameters,
         now: Timestamp,
@@ -324,8 +324,8 @@
     ///
     /// The maximum of this node's own requests beyond `concurrency` and, if the server reported its
     /// load recently, of all nodes' requests beyond its slots.
-    pub(super) fn queue(&self, now: Timestamp, concurrency: u32) -> f64 {
-        let own = (self.outstanding.len() + self.waiting.len()) as f64;
+    pub(super) fn queue_length(&self, now: Timestamp, concurrency: u32) -> f64 {
+        let own = (self.outstanding.len() + self.queue.len()) as f64;
         let reported = self
             .load
             .filter(|(_, at)| now.since(*at) < LOAD_REPORT_LIFETIME)
@@ -364,10 +364,10 @@
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
-        resting: &IdleConnection,
+        idle: &IdleConnection,
     ) -> bool {
         let mut overdue = self.overdue_attempts(parameters, now);
-        overdue.any(|attempt| resting.since <= attempt.sent_at)
+        overdue.any(|attempt| idle.since <= attempt.sent_at)
     }
 
     /// Whether an attempt at the server is overdue.
--- a/crates/thornbridge-core/src/gateway/servers/subset.rs
+++ b/crates/thornbridge-core/src/gateway/servers/subset.rs
@@ -28,7 +28,7 @@
 
 /// Address and zone of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(in crate::gateway) struct Sharer {
+pub(in crate::gateway) struct MemberLocation {
     pub(in crate::gateway) address: SocketAddr,
     pub(in crate::gateway) zone: ZoneName,
 }
@@ -68,12 +68,12 @@
 
 impl Servers {
     /// Sets the members, this node included, that share the servers' connections.
-    pub(in crate::gateway) fn set_sharers(&mut self, now: Timestamp, sharers: Vec<Sharer>) {
-        self.members.observe(now, sharers.len().max(1) as u64);
+    pub(in crate::gateway) fn set_members(&mut self, now: Timestamp, members: Vec<MemberLocation>) {
+        self.members.observe(now, members.len().max(1) as u64);
         let own = self.subset.own;
-        let mut nodes: Vec<SubsetNode> = sharers
+        let mut nodes: Vec<SubsetNode> = members
             .into_iter()
-            .map(|sharer| SubsetNode::new(stable_node_id(sharer.address), sharer.zone))
+            .map(|member| SubsetNode::new(stable_node_id(member.address), member.zone))
             .collect();
         if !nodes.iter().any(|node| node.node == own) {
             nodes.push(SubsetNode::new(own, self.subset.own_zone.clone()));
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -20,7 +20,7 @@
 use super::exchange::AnswerDelay;
 use super::parameters::SliceParameters;
 use super::routes::RouteKey;
-use super::servers::{Placement, Sharer};
+use super::servers::{MemberLocation, Placement};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     parameters: SliceParameters,
     placement: Placement,
     own_address: SocketAddr,
-    members: Vec<Sharer>,
+    members: Vec<MemberLocation>,
     plans: BTreeMap<RouteKey, Arc<Plan>>,
     /// Decayed failures of owners, as of a time.
     failures: BTreeMap<SocketAddr, (f64, Timestamp)>,
@@ -99,7 +99,7 @@
     }
 
     /// Replaces the members that accept work, including this node.
-    pub(super) fn set_members(&mut self, members: Vec<Sharer>) {
+    pub(super) fn set_members(&mut self, members: Vec<MemberLocation>) {
         let known: BTreeSet<SocketAddr> = members.iter().map(|member| member.address).collect();
         self.last_received
             .retain(|address, _| known.contains(address));
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -4,7 +4,7 @@
 use super::assignment::{assign_owners, rank};
 use crate::gateway::budget::ServiceKey;
 use crate::gateway::routes::{ResolvedGather, ResolvedTarget, RouteKey, RouteTable};
-use crate::gateway::servers::{Servers, Sharer};
+use crate::gateway::servers::{MemberLocation, Servers};
 use crate::routing::subset::server_hash;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -142,7 +142,7 @@
 
     /// Members in this node's region, near servers of the gather if any: merged slices cross zones
     /// instead of all parts.
-    fn candidates(&self, gather: &ResolvedGather, servers: &Servers) -> Vec<&Sharer> {
+    fn candidates(&self, gather: &ResolvedGather, servers: &Servers) -> Vec<&MemberLocation> {
         let zones: BTreeSet<&ZoneName> = gather
             .shards
             .iter()
@@ -151,10 +151,10 @@
             .collect();
         let regions = &self.placement.regions;
         let region = Some(&self.placement.region);
-        let in_region = |member: &&Sharer| regions.get(&member.zone) == region;
-        let nearby = |member: &&Sharer| zones.contains(&member.zone);
-        let regional: Vec<&Sharer> = self.members.iter().filter(in_region).collect();
-        let preferred: Vec<&Sharer> = regional.iter().copied().filter(nearby).collect();
+        let in_region = |member: &&MemberLocation| regions.get(&member.zone) == region;
+        let nearby = |member: &&MemberLocation| zones.contains(&member.zone);
+        let regional: Vec<&MemberLocation> = self.members.iter().filter(in_region).collect();
+        let preferred: Vec<&MemberLocation> = regional.iter().copied().filter(nearby).collect();
         if preferred.is_empty() {
             regional
         } else {
@@ -164,7 +164,7 @@
 
     /// Owners in order of preference: those in this zone first, the rest in a node-specific order
     /// that spreads load.
-    fn sort_owners<'a>(&self, owners: impl Iterator<Item = &'a Sharer>) -> Vec<SocketAddr> {
+    fn sort_owners<'a>(&self, owners: impl Iterator<Item = &'a MemberLocation>) -> Vec<SocketAddr> {
         let own_hash = server_hash(&self.own_address.to_string());
         let mut owners: Vec<(bool, u64, SocketAddr)> = owners
             .map(|owner| {
--- a/crates/thornbridge-core/src/gateway/tests/neighbours.rs
+++ b/crates/thornbridge-core/src/gateway/tests/neighbours.rs
@@ -1,6 +1,6 @@
 //! Which peers are told, asked and polled.
 
-use crate::gateway::servers::Sharer;
+use crate::gateway::servers::MemberLocation;
 use crate::gateway::views::zone_peers::{ZonePeers, poll_targets};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -10,8 +10,8 @@
 
 const ZONES: usize = 6;
 
-fn members(count: usize) -> Vec<Sharer> {
-    let member = |index: usize| Sharer {
+fn members(count: usize) -> Vec<MemberLocation> {
+    let member = |index: usize| MemberLocation {
         address: SocketAddr::from(([10, 1, (index / 250) as u8, (index % 250) as u8], 8_106)),
         zone: ZoneName::new(format!("zone-{}", index % ZONES)),
     };
@@ -90,7 +90,7 @@
 fn the_last_node_of_a_zone_polls_the_readers_while_it_leaves() {
     let order = members(30);
     for (index, own) in order.iter().enumerate() {
-        let others: Vec<Sharer> = order
+        let others: Vec<MemberLocation> = order
             .iter()
             .filter(|member| member.zone != own.zone)
             .cloned()
--- a/crates/thornbridge-core/src/gateway/tests/queues.rs
+++ b/crates/thornbridge-core/src/gateway/tests/queues.rs
@@ -1,7 +1,7 @@
 //! Order in which queued parts of a server are sent.
 
 use crate::driver_action::CallerId;
-use crate::gateway::servers::{Waiting, WaitingQueue};
+use crate::gateway::servers::{PartQueue, QueuedPart};
 use crate::time::Timestamp;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -10,17 +10,17 @@
     Timestamp::ZERO + Duration::from_millis(millis)
 }
 
-fn part(caller: u64, send_by: u64, ends: u64) -> Waiting {
-    Waiting {
+fn part(caller: u64, send_by: u64, deadline: u64) -> QueuedPart {
+    QueuedPart {
         caller: CallerId(caller),
         part: 0,
         send_by: at(send_by),
-        ends: at(ends),
+        deadline: at(deadline),
     }
 }
 
-fn order(now: u64, parts: &[Waiting]) -> Vec<u64> {
-    let mut queue = WaitingQueue::default();
+fn order(now: u64, parts: &[QueuedPart]) -> Vec<u64> {
+    let mut queue = PartQueue::default();
     parts.iter().for_each(|part| queue.push(*part));
     let popped = std::iter::from_fn(|| queue.pop(at(now)));
     popped.map(|part| part.caller.0).collect()
@@ -46,7 +46,7 @@
 
 #[test]
 fn removed_part_is_not_sent() {
-    let mut queue = WaitingQueue::default();
+    let mut queue = PartQueue::default();
     queue.push(part(1, 10, 800));
     queue.push(part(2, 10, 900));
     queue.remove(CallerId(1), 0);
@@ -57,7 +57,7 @@
 proptest! {
     #[test]
     fn each_part_is_sent_once(parts in prop::collection::vec((0..200_u64, 0..2_000_u64), 0..20), now in 0..300_u64) {
-        let parts: Vec<Waiting> = (0_u64..).zip(&parts).map(|(caller, (send_by, ends))| part(caller, *send_by, *ends)).collect();
+        let parts: Vec<QueuedPart> = (0_u64..).zip(&parts).map(|(caller, (send_by, deadline))| part(caller, *send_by, *deadline)).collect();
         let mut sent = order(now, &parts);
         sent.sort_unstable();
         let all: Vec<u64> = (0..parts.len() as u64).collect();
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/speeds.rs
@@ -55,7 +55,7 @@
         self.now = self.now + after;
         let parameters = self.servers.parameters.clone();
         let server = self.servers.get_mut(self.key).unwrap();
-        server.observe_speed(&parameters, self.now, took, WORK);
+        server.observe_slowdown(&parameters, self.now, took, WORK);
     }
 
     fn speed(&self) -> f64 {
--- a/crates/thornbridge-core/src/gateway/tests/subsets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/subsets.rs
@@ -4,7 +4,7 @@
 use crate::driver_action::ConnectionId;
 use crate::gateway::GatewayAction;
 use crate::gateway::ServerParameters;
-use crate::gateway::servers::{OpenOutcome, Placement, Servers, Sharer};
+use crate::gateway::servers::{AcquireOutcome, MemberLocation, Placement, Servers};
 use crate::gateway::telemetry::ViewOrigin;
 use crate::time::Timestamp;
 use rand::SeedableRng;
@@ -91,11 +91,11 @@
 
     /// Sets the number of members; returns how many connections are opened to each server.
     fn open_with_members(&mut self, now: Timestamp, members: usize) -> BTreeMap<SocketAddr, u32> {
-        let sharers = (0..members).map(|index| Sharer {
+        let locations = (0..members).map(|index| MemberLocation {
             address: address(index),
             zone: zone(index),
         });
-        self.servers.set_sharers(now, sharers.collect());
+        self.servers.set_members(now, locations.collect());
         self.actions.clear();
         self.servers.keep_warm(now, &mut self.actions);
         let mut opened = BTreeMap::new();
@@ -268,8 +268,10 @@
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let near = node.servers.choose(now, &mut random, service, work, &[]);
     let near = near.unwrap().server;
-    let connection = node.servers.connection_for(now, &mut node.actions, near);
-    assert!(matches!(connection, OpenOutcome::Resting(_)));
+    let connection = node
+        .servers
+        .acquire_connection(now, &mut node.actions, near);
+    assert!(matches!(connection, AcquireOutcome::Idle(_)));
     let server = node.servers.get_mut(near).unwrap();
     server.sent(now, AttemptId(1), work);
     let next = node.servers.choose(now, &mut random, service, work, &[]);
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/viewing.rs
@@ -329,7 +329,7 @@
 
     /// Moves requests that wait for a leaving server to other servers.
     pub(super) fn reassign_waiting_requests(&mut self) {
-        for server in self.servers.leaving_with_waiting() {
+        for server in self.servers.unavailable_with_queued() {
             let (exchanges, mut context) = self.exchanges();
             exchanges.server_unavailable(&mut context, server);
         }
--- a/crates/thornbridge-core/src/gateway/views/peers.rs
+++ b/crates/thornbridge-core/src/gateway/views/peers.rs
@@ -8,7 +8,7 @@
 use super::zone_peers::{ZonePeers, poll_targets};
 use crate::gateway::action::GatewayAction;
 use crate::gateway::parameters::ViewParameters;
-use crate::gateway::servers::Sharer;
+use crate::gateway::servers::MemberLocation;
 use crate::time::Timestamp;
 use rand::seq::IndexedRandom;
 use rand_pcg::Pcg64Mcg;
@@ -84,14 +84,19 @@
     /// Sets the members to exchange views with.
     pub(in crate::gateway) fn set_peers(
         &mut self,
-        own: &Sharer,
-        members: impl Iterator<Item = Sharer>,
+        own: &MemberLocation,
+        members: impl Iterator<Item = MemberLocation>,
     ) {
         self.peers = ZonePeers::new(own, members);
     }
 
     /// Sets the reader order and this node's position in it.
-    pub(in crate::gateway) fn set_readers(&mut self, own: &Sharer, order: &[Sharer], rank: usize) {
+    pub(in crate::gateway) fn set_readers(
+        &mut self,
+        own: &MemberLocation,
+        order: &[MemberLocation],
+        rank: usize,
+    ) {
         self.poll_targets = poll_targets(own, order, rank);
         self.poll_index = 0;
     }
--- a/crates/thornbridge-core/src/gateway/views/zone_peers.rs
+++ b/crates/thornbridge-core/src/gateway/views/zone_peers.rs
@@ -3,7 +3,7 @@
 //! A change crosses zone boundaries once per zone instead of once per node: it is announced to one
 //! peer of each other zone and spreads from there within the zone. Digests and polls repair losses.
 
-use crate::gateway::servers::Sharer;
+use crate::gateway::servers::MemberLocation;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 use std::collections::BTreeMap;
@@ -26,7 +26,10 @@
 
 impl ZonePeers {
     /// Groups members by zone; `own` is this node.
-    pub(in crate::gateway) fn new(own: &Sharer, members: impl Iterator<Item = Sharer>) -> Self {
+    pub(in crate::gateway) fn new(
+        own: &MemberLocation,
+        members: impl Iterator<Item = MemberLocation>,
+    ) -> Self {
         let mut zones: BTreeMap<ZoneName, Vec<SocketAddr>> = BTreeMap::new();
         for member in members.filter(|member| member.address != own.address) {
             zones.entry(member.zone).or_default().push(member.address);
@@ -87,14 +90,14 @@
 /// `order` is the reader order and `rank` this node's position in it. The leading members of each
 /// zone are relays: they poll the reader and its successors; the rest of the zone polls the relays.
 pub(in crate::gateway) fn poll_targets(
-    own: &Sharer,
-    order: &[Sharer],
+    own: &MemberLocation,
+    order: &[MemberLocation],
     rank: usize,
 ) -> Vec<SocketAddr> {
-    let address = |member: &Sharer| member.address;
+    let address = |member: &MemberLocation| member.address;
     let predecessors = &order[..rank.min(order.len())];
     let readers = predecessors.iter().take(POLLED_READERS).map(address);
-    let in_zone = |member: &&Sharer| member.zone == own.zone;
+    let in_zone = |member: &&MemberLocation| member.zone == own.zone;
     // The reader is no relay: the relays of all zones poll the reader.
     let zone_predecessors = predecessors.iter().skip(1).filter(in_zone);
     let zone_rank = zone_predecessors.clone().count();
