--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -1,8 +1,7 @@
-//! A store that comes back from a copy.
+//! Tests of a store that is restored from a backup.
 //!
-//! What users would have seen: after a drill in which the store came back from a copy some seconds
-//! old, new servers got nothing, and servers that had said they leave got requests again. Cause: the
-//! store gives revisions out again, and views went by the revision alone.
+//! A restored store reuses revisions: views compared by revision alone would ignore new servers and
+//! send requests to servers that had drained.
 
 use super::support::{Harness, configuration, instance, millis, route, service};
 use crate::driver_action::CallerId;
@@ -37,7 +36,7 @@
     entry(revision, id, InstanceState::Ready)
 }
 
-/// States of a registry's entries.
+/// State of each entry, by instance.
 fn states(registry: &Registry) -> BTreeMap<String, InstanceState> {
     let instances = registry.instances();
     instances
@@ -45,38 +44,38 @@
         .collect()
 }
 
-fn named<const COUNT: usize>(
+fn expected_states<const COUNT: usize>(
     states: [(&str, InstanceState); COUNT],
 ) -> BTreeMap<String, InstanceState> {
     let states = states.into_iter();
     states.map(|(id, state)| (id.to_owned(), state)).collect()
 }
 
-/// Knows the store of its first era up to revision 100: one server that stays, one that drains, and one
-/// that went; a copy that was made at 90 has all three.
+/// Registry at revision 100 of the first era: one ready, one draining and one removed instance. All
+/// three were ready when the backup was made at revision 90.
 fn registry() -> Registry {
     let mut registry = Registry::default();
     let listed = ["stays", "drains", "goes"].map(|id| ready(at(1, 50), id));
     registry.replace(Timestamp::ZERO, listed.to_vec(), at(1, 90));
-    let (revision, drains) = entry(at(1, 95), "drains", InstanceState::Draining);
-    registry.upsert(revision, drains);
-    let gone = BackEndId::new("goes");
-    registry.remove(Timestamp::ZERO, at(1, 96), at(1, 100), &gone);
+    let (revision, draining) = entry(at(1, 95), "drains", InstanceState::Draining);
+    registry.upsert(revision, draining);
+    let removed_id = BackEndId::new("goes");
+    registry.remove(Timestamp::ZERO, at(1, 96), at(1, 100), &removed_id);
     registry.advance_to(at(1, 100));
     registry
 }
 
-/// What the store lists once it is back.
-fn copy() -> Vec<(StoreRevision, Instance)> {
+/// Entries that the store lists after the restore.
+fn restored_entries() -> Vec<(StoreRevision, Instance)> {
     ["stays", "drains", "goes"]
         .map(|id| ready(at(2, 50), id))
         .to_vec()
 }
 
 #[test]
-fn a_server_that_is_new_in_a_new_era_is_taken_at_a_lower_revision() {
+fn new_era_adds_instance_at_lower_revision() {
     let mut registry = registry();
-    let mut listed = copy();
+    let mut listed = restored_entries();
     listed.push(ready(at(2, 91), "new"));
     registry.replace(Timestamp::ZERO, listed, at(2, 91));
     assert_eq!(registry.upto(), Some(at(2, 91)));
@@ -86,10 +85,10 @@
 }
 
 #[test]
-fn servers_that_left_since_the_copy_are_not_back_with_it() {
+fn restored_entries_do_not_undo_drain_or_removal() {
     let mut registry = registry();
-    registry.replace(Timestamp::ZERO, copy(), at(2, 90));
-    let expected = named([
+    registry.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
+    let expected = expected_states([
         ("stays", InstanceState::Ready),
         ("drains", InstanceState::Draining),
         ("goes", InstanceState::Held),
@@ -98,13 +97,13 @@
 }
 
 #[test]
-fn a_server_that_is_held_takes_requests_once_it_writes_or_its_entry_stays() {
+fn held_instance_becomes_ready_on_write_or_after_hold_period() {
     let mut registry = registry();
-    registry.replace(Timestamp::ZERO, copy(), at(2, 90));
-    let mut writes = registry.clone();
+    registry.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
+    let mut rewritten = registry.clone();
     let (revision, again) = ready(at(2, 93), "goes");
-    assert!(writes.upsert(revision, again).is_some());
-    assert_eq!(states(&writes)["goes"], InstanceState::Ready);
+    assert!(rewritten.upsert(revision, again).is_some());
+    assert_eq!(states(&rewritten)["goes"], InstanceState::Ready);
 
     let seconds = |count| Timestamp::ZERO + Duration::from_secs(count);
     assert!(registry.release_held(seconds(1)).is_empty());
@@ -114,7 +113,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_run_does_not_replace_a_later_one() {
+fn restored_entry_of_earlier_run_is_ignored() {
     let mut registry = Registry::default();
     let run = |revision, born_ms| {
         let (revision, instance) = ready(revision, "s1");
@@ -132,9 +131,9 @@
 }
 
 #[test]
-fn what_is_told_of_an_ended_era_changes_nothing() {
+fn updates_of_earlier_era_are_ignored() {
     let mut registry = registry();
-    registry.replace(Timestamp::ZERO, copy(), at(2, 90));
+    registry.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
     let known = states(&registry);
     let listed = vec![ready(at(1, 400), "ghost")];
     assert!(
@@ -155,23 +154,23 @@
 }
 
 #[test]
-fn a_node_that_was_cut_off_learns_the_new_era_and_does_not_bring_the_old_one_back() {
+fn partitioned_replica_adopts_new_era_from_peer() {
     let mut current = registry();
-    let mut cut_off = registry();
-    let (revision, seen_alone) = ready(at(1, 990), "seen-alone");
-    cut_off.upsert(revision, seen_alone);
-    cut_off.advance_to(at(1, 1_000));
-    current.replace(Timestamp::ZERO, copy(), at(2, 90));
-    assert!(cut_off.delta(current.upto().unwrap()).is_none());
-    let delta = current.delta(cut_off.upto().unwrap()).unwrap();
+    let mut partitioned = registry();
+    let (revision, unreplicated) = ready(at(1, 990), "seen-alone");
+    partitioned.upsert(revision, unreplicated);
+    partitioned.advance_to(at(1, 1_000));
+    current.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
+    assert!(partitioned.delta(current.upto().unwrap()).is_none());
+    let delta = current.delta(partitioned.upto().unwrap()).unwrap();
     assert_eq!(delta.since, None);
-    cut_off.apply_delta(Timestamp::ZERO, delta);
-    assert_eq!(cut_off.upto(), current.upto());
-    assert_eq!(states(&cut_off), states(&current));
+    partitioned.apply_delta(Timestamp::ZERO, delta);
+    assert_eq!(partitioned.upto(), current.upto());
+    assert_eq!(states(&partitioned), states(&current));
 }
 
 #[test]
-fn a_watch_that_is_answered_in_a_new_era_is_followed_by_a_list() {
+fn watch_answered_in_new_era_triggers_list() {
     let mut reader = SourceReader::new(ViewKind::Registry, ViewParameters::default());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let mut actions = VecDeque::new();
@@ -197,13 +196,13 @@
         )],
         at: at(2, 101),
     };
-    let news = reader.replied(now, &mut random, &mut actions, read, Ok(changes));
-    assert_eq!(news, None);
+    let update = reader.replied(now, &mut random, &mut actions, read, Ok(changes));
+    assert_eq!(update, None);
     assert_matches!(next(&mut actions).1, SourceRead::List { after: None });
 }
 
 #[test]
-fn eras_only_rise_and_what_cannot_be_one_is_no_news() {
+fn era_tracker_rejects_stale_and_ignores_implausible_eras() {
     let mut tracker = EraTracker::default();
     assert_eq!(tracker.take(&ToldEra::Missing), Ok((0, true)));
     assert_eq!(tracker.take(&ToldEra::Told(7)), Ok((7, true)));
@@ -222,44 +221,44 @@
 }
 
 #[test]
-fn an_evacuation_that_the_copy_lacks_binds_until_it_is_written_again_or_for_a_while() {
+fn evacuation_missing_from_backup_is_carried_over_temporarily() {
     let zone = |name: &str| ZoneName::new(name);
     let only = |name: &str| BTreeSet::from([zone(name)]);
     let mut evacuations = Evacuations::default();
     evacuations.replace(only("a"), at(1, 100));
     assert!(evacuations.replace(BTreeSet::new(), at(2, 90)).is_empty());
-    let over = |name: &str| EvacuationChange {
+    let ended_change = |name: &str| EvacuationChange {
         zone: zone(name),
         evacuated: false,
     };
-    let ordered = EvacuationChange {
+    let started_change = EvacuationChange {
         zone: zone("a"),
         evacuated: true,
     };
     assert!(
         evacuations
-            .take([ordered].into_iter(), at(2, 91))
+            .take([started_change].into_iter(), at(2, 91))
             .is_empty()
     );
-    let ended = evacuations.take([over("a")].into_iter(), at(2, 92));
-    assert_eq!(ended, [over("a")]);
+    let ended = evacuations.take([ended_change("a")].into_iter(), at(2, 92));
+    assert_eq!(ended, [ended_change("a")]);
 
     evacuations.replace(only("b"), at(2, 93));
     evacuations.replace(BTreeSet::new(), at(3, 80));
     assert!(evacuations.forget_carried(Timestamp::ZERO).is_empty());
     let later = Timestamp::ZERO + Duration::from_secs(31);
-    assert_eq!(evacuations.forget_carried(later), [over("b")]);
+    assert_eq!(evacuations.forget_carried(later), [ended_change("b")]);
 }
 
-/// A gateway that knows a server that drains, as of the first era.
+/// A gateway with a ready and a draining server, as of the first era.
 fn serving() -> Harness {
     let routes = || vec![route("/", service("s"), Repeatability::Repeatable)];
     let mut harness = Harness::started();
-    let drains = instance("drains", "s", InstanceState::Draining);
-    let stays = instance("stays", "s", InstanceState::Ready);
+    let draining = instance("drains", "s", InstanceState::Draining);
+    let ready_instance = instance("stays", "s", InstanceState::Ready);
     let objects = vec![
-        ViewObject::Instance(at(1, 10), stays),
-        ViewObject::Instance(at(1, 40), drains),
+        ViewObject::Instance(at(1, 10), ready_instance),
+        ViewObject::Instance(at(1, 40), draining),
     ];
     harness.page(ViewKind::Registry, objects, at(1, 50));
     let object = ViewObject::Configuration(configuration(3, routes()));
@@ -271,17 +270,17 @@
 impl Harness {
     fn page(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
         let read = self.reads.iter().rfind(|(read_kind, _)| *read_kind == kind);
-        let read = read.expect("a read").1;
+        let read = read.expect("no read was issued").1;
         let next = None;
         let reply = SourceReply::Page { objects, next, at };
         let result = Ok(reply);
         self.event(GatewayEvent::SourceReplied { kind, read, result });
     }
 
-    /// The store answers a watch in a new era, and the list after it.
+    /// Answers the pending watch in a new era, and the list that follows.
     fn new_era(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
         let read = self.reads.iter().rfind(|(read_kind, _)| *read_kind == kind);
-        let read = read.expect("a read").1;
+        let read = read.expect("no read was issued").1;
         let nothing = Vec::new();
         let result = Ok(SourceReply::Changes {
             objects: nothing,
@@ -293,7 +292,7 @@
 }
 
 #[test]
-fn a_gateway_uses_the_servers_of_the_new_era_and_keeps_its_configuration() {
+fn gateway_uses_new_era_servers_and_keeps_newer_configuration() {
     let mut harness = serving();
     let objects = ["drains", "new"].map(|id| {
         let instance = instance(id, "s", InstanceState::Ready);
@@ -311,22 +310,22 @@
     assert_eq!(sent[0].instance, "new");
 }
 
-/// What happens next to a store with copies.
+/// One step of the model.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A server starts under a name that it never had.
+    /// A server starts under a new name.
     Start,
-    /// A server says that it leaves.
+    /// A server drains.
     Drain(u8),
-    /// A server's entry goes.
+    /// A server's entry is removed.
     Remove(u8),
-    /// The store is copied.
-    Copy,
-    /// The store comes back from its copy; all that live write again.
+    /// The store is backed up.
+    Backup,
+    /// The store is restored from its backup; all running servers write their entries again.
     Restore,
-    /// A replica reads the store.
+    /// A replica lists the store.
     List(usize),
-    /// The second replica gets what it lacks from the first.
+    /// The second replica pulls from the first.
     Pull(usize, usize),
 }
 
@@ -336,7 +335,7 @@
         4 => Just(Step::Start),
         2 => any::<u8>().prop_map(Step::Drain),
         2 => any::<u8>().prop_map(Step::Remove),
-        2 => Just(Step::Copy),
+        2 => Just(Step::Backup),
         1 => Just(Step::Restore),
         3 => replica.clone().prop_map(Step::List),
         4 => (replica.clone(), replica).prop_map(|(from, to)| Step::Pull(from, to)),
@@ -345,15 +344,15 @@
 
 const REPLICAS: usize = 3;
 
-/// A store, and the servers as they really are.
+/// Model of the store and of the actual servers.
 #[derive(Default)]
 struct Model {
     era: u64,
     revision: u64,
     entries: BTreeMap<String, (u64, InstanceState)>,
-    copy: (u64, BTreeMap<String, (u64, InstanceState)>),
-    /// Servers that live, and whether they drain.
-    living: BTreeMap<String, InstanceState>,
+    backup: (u64, BTreeMap<String, (u64, InstanceState)>),
+    /// Actual state of the running servers.
+    running: BTreeMap<String, InstanceState>,
     started: u32,
 }
 
@@ -373,25 +372,25 @@
     fn start(&mut self) {
         self.started += 1;
         let id = format!("s{}", self.started);
-        self.living.insert(id.clone(), InstanceState::Ready);
+        self.running.insert(id.clone(), InstanceState::Ready);
         self.write(&id, InstanceState::Ready);
     }
 
-    fn some_living(&self, draw: u8) -> Option<String> {
-        let index = usize::from(draw) % self.living.len().max(1);
-        self.living.keys().nth(index).cloned()
+    fn pick_running(&self, index_seed: u8) -> Option<String> {
+        let index = usize::from(index_seed) % self.running.len().max(1);
+        self.running.keys().nth(index).cloned()
     }
 
-    fn drain(&mut self, draw: u8) {
-        if let Some(id) = self.some_living(draw) {
-            self.living.insert(id.clone(), InstanceState::Draining);
+    fn drain(&mut self, index_seed: u8) {
+        if let Some(id) = self.pick_running(index_seed) {
+            self.running.insert(id.clone(), InstanceState::Draining);
             self.write(&id, InstanceState::Draining);
         }
     }
 
-    fn remove(&mut self, draw: u8) {
-        if let Some(id) = self.some_living(draw) {
-            self.living.remove(&id);
+    fn remove(&mut self, index_seed: u8) {
+        if let Some(id) = self.pick_running(index_seed) {
+            self.running.remove(&id);
             self.entries.remove(&id);
             self.revision += 1;
         }
@@ -399,8 +398,8 @@
 
     fn restore(&mut self) {
         self.era += 1;
-        (self.revision, self.entries) = self.copy.clone();
-        for (id, state) in self.living.clone() {
+        (self.revision, self.entries) = self.backup.clone();
+        for (id, state) in self.running.clone() {
             self.write(&id, state);
         }
     }
@@ -414,18 +413,18 @@
 
 proptest! {
     #[test]
-    fn no_replica_uses_a_server_whose_leaving_it_knew(steps in prop::collection::vec(step(), 1..80)) {
+    fn replica_never_marks_draining_server_ready(steps in prop::collection::vec(step(), 1..80)) {
         let mut model = Model { era: 1, revision: 10, ..Model::default() };
-        model.copy = (10, BTreeMap::new());
+        model.backup = (10, BTreeMap::new());
         let mut replicas: Vec<Registry> = (0..REPLICAS).map(|_| Registry::default()).collect();
-        let mut left: Vec<BTreeSet<String>> = vec![BTreeSet::new(); REPLICAS];
+        let mut seen_draining: Vec<BTreeSet<String>> = vec![BTreeSet::new(); REPLICAS];
         let now = Timestamp::ZERO;
         for step in steps {
             match step {
                 Step::Start => model.start(),
-                Step::Drain(draw) => model.drain(draw),
-                Step::Remove(draw) => model.remove(draw),
-                Step::Copy => model.copy = (model.revision, model.entries.clone()),
+                Step::Drain(index_seed) => model.drain(index_seed),
+                Step::Remove(index_seed) => model.remove(index_seed),
+                Step::Backup => model.backup = (model.revision, model.entries.clone()),
                 Step::Restore => model.restore(),
                 Step::List(replica) => {
                     let (entries, upto) = model.list();
@@ -438,20 +437,20 @@
                     }
                 }
             }
-            for (replica, left) in replicas.iter().zip(&mut left) {
+            for (replica, seen_draining) in replicas.iter().zip(&mut seen_draining) {
                 let states = states(replica);
                 let takes = |id: &String| states.get(id) == Some(&InstanceState::Ready);
-                prop_assert!(!left.iter().any(takes), "{left:?} in {states:?}");
+                prop_assert!(!seen_draining.iter().any(takes), "{seen_draining:?} in {states:?}");
                 let leaving = states.iter().filter(|(_, state)| **state == InstanceState::Draining);
-                left.extend(leaving.map(|(id, _)| id.clone()));
+                seen_draining.extend(leaving.map(|(id, _)| id.clone()));
             }
         }
-        // All read the store at last, and agree with the servers as they are.
+        // After a final list, all replicas agree with the actual servers.
         let (entries, upto) = model.list();
         for replica in &mut replicas {
             replica.replace(now, entries.clone(), upto);
             let states = states(replica);
-            for (id, state) in &model.living {
+            for (id, state) in &model.running {
                 let known = states.get(id);
                 prop_assert!(known == Some(state) || known == Some(&InstanceState::Held), "{id}: {known:?}");
             }
--- a/crates/thornbridge-core/src/gateway/tests/neighbours.rs
+++ b/crates/thornbridge-core/src/gateway/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! Which peers are told, asked and polled.
+//! Choice of peers to announce to, pull from and poll.
 
 use crate::gateway::servers::MemberLocation;
 use crate::gateway::views::zone_peers::{ZonePeers, poll_targets};
@@ -18,47 +18,53 @@
     (0..count).map(member).collect()
 }
 
-/// Most polls that come to one member, and the number that cross zones.
-fn polls(count: usize) -> (usize, usize) {
+/// Maximum number of polls at one member, and the number of polls that cross zones.
+fn poll_counts(count: usize) -> (usize, usize) {
     let order = members(count);
     let zone_of: BTreeMap<SocketAddr, &ZoneName> = order
         .iter()
         .map(|member| (member.address, &member.zone))
         .collect();
-    let mut of_member: BTreeMap<SocketAddr, usize> = BTreeMap::new();
-    let mut crossing = 0;
+    let mut polls_by_target: BTreeMap<SocketAddr, usize> = BTreeMap::new();
+    let mut cross_zone_polls = 0;
     for (rank, own) in order.iter().enumerate().skip(1) {
-        let polled = poll_targets(own, &order, rank)[0];
-        *of_member.entry(polled).or_default() += 1;
-        crossing += usize::from(*zone_of[&polled] != own.zone);
+        let target = poll_targets(own, &order, rank)[0];
+        *polls_by_target.entry(target).or_default() += 1;
+        cross_zone_polls += usize::from(*zone_of[&target] != own.zone);
     }
-    (of_member.into_values().max().unwrap(), crossing)
+    (
+        polls_by_target.into_values().max().unwrap(),
+        cross_zone_polls,
+    )
 }
 
 #[test]
-fn no_member_is_polled_by_many_and_few_polls_cross_zones() {
+fn polls_are_spread_and_rarely_cross_zones() {
     for count in [12, 90, 480, 985] {
-        let (most, crossing) = polls(count);
-        assert!(most <= 45, "{most} of {count}");
-        assert!(crossing <= 4 + ZONES + count / 30, "{crossing} of {count}");
+        let (max_polls, cross_zone_polls) = poll_counts(count);
+        assert!(max_polls <= 45, "{max_polls} of {count}");
+        assert!(
+            cross_zone_polls <= 4 + ZONES + count / 30,
+            "{cross_zone_polls} of {count}"
+        );
     }
 }
 
 #[test]
-fn every_member_polls_one_before_it_so_that_polls_end_at_the_reader() {
+fn poll_targets_precede_the_member_in_reader_order() {
     let order = members(200);
     for (rank, own) in order.iter().enumerate() {
-        let polled = poll_targets(own, &order, rank);
-        assert_eq!(polled.is_empty(), rank == 0);
-        for address in polled {
-            let place = order.iter().position(|member| member.address == address);
-            assert!(place < Some(rank), "{rank} polls {place:?}");
+        let targets = poll_targets(own, &order, rank);
+        assert_eq!(targets.is_empty(), rank == 0);
+        for address in targets {
+            let position = order.iter().position(|member| member.address == address);
+            assert!(position < Some(rank), "{rank} polls {position:?}");
         }
     }
 }
 
 #[test]
-fn a_node_draws_peers_of_its_zone_and_one_of_each_other() {
+fn draws_local_peers_and_one_per_remote_zone() {
     let order = members(60);
     let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
@@ -72,22 +78,20 @@
 }
 
 #[test]
-fn a_node_alone_in_its_zone_holds_all_for_near() {
+fn node_alone_in_its_zone_treats_all_peers_as_nearest() {
     let order = members(3);
     let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     assert!(peers.is_nearest(order[1].address));
     assert!(peers.any_local(&mut random).is_some());
-    let nobody = ZonePeers::new(&order[0], order[..1].iter().cloned());
-    assert!(nobody.is_empty());
-    assert_eq!(nobody.any(&mut random), None);
+    let without_peers = ZonePeers::new(&order[0], order[..1].iter().cloned());
+    assert!(without_peers.is_empty());
+    assert_eq!(without_peers.any(&mut random), None);
 }
 
-/// What users saw: nodes that were told to stop closed their connections without an answer. Cause: a
-/// node that leaves takes no part in the order of readers, and the last one of its zone divided by the
-/// zone's relays, of which there were none.
+/// Guards against a division by zero relays: a leaving node is not in the reader order.
 #[test]
-fn the_last_node_of_a_zone_polls_the_readers_while_it_leaves() {
+fn leaving_last_node_of_zone_polls_readers() {
     let order = members(30);
     for (index, own) in order.iter().enumerate() {
         let others: Vec<MemberLocation> = order
@@ -95,7 +99,7 @@
             .filter(|member| member.zone != own.zone)
             .cloned()
             .collect();
-        let polled = poll_targets(own, &others, others.len());
-        assert!(!polled.is_empty(), "{index}");
+        let targets = poll_targets(own, &others, others.len());
+        assert!(!targets.is_empty(), "{index}");
     }
 }
--- a/crates/thornbridge-core/src/gateway/tests/registries.rs
+++ b/crates/thornbridge-core/src/gateway/tests/registries.rs
@@ -1,4 +1,4 @@
-//! Registries that learn from the store and from each other, against a simple oracle.
+//! Registry replicas that sync with the store and each other, checked against a model.
 
 use super::support::instance;
 use crate::gateway::views::registry::Registry;
@@ -8,24 +8,23 @@
 use thornbridge_proto::BackEndId;
 use thornbridge_proto::peer::view::{InstanceState, StoreRevision};
 
-/// Replicas of the registry.
 const REPLICAS: usize = 3;
 
-/// What happens next.
+/// One step of the store or a replica.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The store takes an entry.
+    /// The store adds or changes an entry.
     Put(u8, bool),
-    /// An entry goes.
+    /// The store removes an entry.
     Remove(u8),
-    /// A replica takes all changes from the store's history.
+    /// A replica applies all changes since its revision.
     Watch(usize),
-    /// A replica takes a whole list.
+    /// A replica applies a list.
     List(usize),
-    /// The second replica gets what it lacks from the first.
+    /// The second replica pulls from the first.
     Pull(usize, usize),
-    /// A replica forgets departures.
-    Forget(usize),
+    /// A replica drops old tombstones.
+    ExpireTombstones(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -36,21 +35,21 @@
         2 => replica.clone().prop_map(Step::Watch),
         1 => replica.clone().prop_map(Step::List),
         3 => (replica.clone(), 0..REPLICAS).prop_map(|(from, to)| Step::Pull(from, to)),
-        1 => replica.prop_map(Step::Forget),
+        1 => replica.prop_map(Step::ExpireTombstones),
     ]
 }
 
-/// The store: entries, and all that ever happened.
+/// Model of the store: current entries and complete history.
 #[derive(Default)]
-struct Oracle {
+struct Store {
     revision: u64,
     entries: BTreeMap<u8, (u64, bool)>,
     history: Vec<(u64, u8, Option<bool>)>,
-    /// The entries at each revision.
+    /// Entries at each revision.
     states: Vec<(u64, BTreeSet<(u8, bool)>)>,
 }
 
-impl Oracle {
+impl Store {
     fn change(&mut self, id: u8, entry: Option<bool>) {
         self.revision += 1;
         match entry {
@@ -79,30 +78,30 @@
 
 proptest! {
     #[test]
-    fn replicas_agree_with_the_store_at_their_revision(steps in prop::collection::vec(step(), 1..80)) {
-        let mut oracle = Oracle::default();
+    fn replica_equals_store_at_its_revision(steps in prop::collection::vec(step(), 1..80)) {
+        let mut store = Store::default();
         let mut replicas: Vec<Registry> = (0..REPLICAS).map(|_| Registry::default()).collect();
         let mut now = Timestamp::ZERO;
         for step in steps {
             now = now + std::time::Duration::from_secs(1);
             match step {
                 Step::Put(id, ready) => {
-                    let same = oracle.entries.get(&id).is_some_and(|(_, known)| *known == ready);
-                    if !same {
-                        oracle.change(id, Some(ready));
+                    let is_unchanged = store.entries.get(&id).is_some_and(|(_, known)| *known == ready);
+                    if !is_unchanged {
+                        store.change(id, Some(ready));
                     }
                 }
                 Step::Remove(id) => {
-                    if oracle.entries.contains_key(&id) {
-                        oracle.change(id, None);
+                    if store.entries.contains_key(&id) {
+                        store.change(id, None);
                     }
                 }
-                Step::Watch(replica) => watch(&oracle, &mut replicas[replica], now),
+                Step::Watch(replica) => watch(&store, &mut replicas[replica], now),
                 Step::List(replica) => {
-                    let entries = oracle.entries.iter().map(|(id, (revision, ready))| {
+                    let entries = store.entries.iter().map(|(id, (revision, ready))| {
                         (StoreRevision::without_era(*revision), entry(*id, *ready))
                     });
-                    let at = StoreRevision::without_era(oracle.revision);
+                    let at = StoreRevision::without_era(store.revision);
                     replicas[replica].replace(now, entries.collect(), at);
                 }
                 Step::Pull(from, to) => {
@@ -111,22 +110,22 @@
                         replicas[to].apply_delta(now, delta);
                     }
                 }
-                Step::Forget(replica) => replicas[replica].forget(now, std::time::Duration::from_secs(5)),
+                Step::ExpireTombstones(replica) => replicas[replica].forget(now, std::time::Duration::from_secs(5)),
             }
             for replica in &replicas {
                 let Some(upto) = replica.upto() else { continue };
-                prop_assert_eq!(replica.entries(), oracle.state_at(upto.number));
+                prop_assert_eq!(replica.entries(), store.state_at(upto.number));
             }
         }
     }
 }
 
-fn watch(oracle: &Oracle, replica: &mut Registry, now: Timestamp) {
+fn watch(store: &Store, replica: &mut Registry, now: Timestamp) {
     let Some(from) = replica.upto() else {
         return;
     };
-    let at = StoreRevision::without_era(oracle.revision);
-    for (revision, id, change) in &oracle.history {
+    let at = StoreRevision::without_era(store.revision);
+    for (revision, id, change) in &store.history {
         if *revision <= from.number {
             continue;
         }
@@ -140,14 +139,14 @@
 }
 
 impl Registry {
-    /// Number and readiness of the entries, as the oracle names them.
+    /// Number and readiness of each entry, in the form of the model.
     fn entries(&self) -> BTreeSet<(u8, bool)> {
         let instances = self.instances();
-        let named = instances.map(|instance| {
+        let numbered = instances.map(|instance| {
             let number = instance.id.as_str().trim_start_matches("i-").parse();
             let ready = instance.state == InstanceState::Ready;
-            (number.expect("a number"), ready)
+            (number.expect("instance id without a number"), ready)
         });
-        named.collect()
+        numbered.collect()
     }
 }
--- a/crates/thornbridge-core/src/gateway/tests/restarts.rs
+++ b/crates/thornbridge-core/src/gateway/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under the identity that they had, and entries that become unusable.
+//! Servers that restart under the same id, and registry entries that become unusable.
 
 use super::support::{Harness, answer, instance, millis, route, service};
 use crate::gateway::{ExchangeFailure, GatewayEvent, ViewKind, ViewObject};
@@ -15,8 +15,8 @@
     ViewObject::Instance(StoreRevision::without_era(revision), instance)
 }
 
-/// A node with one server that answered a request on a connection that rests now.
-fn with_a_warm_server() -> Harness {
+/// A gateway with one server and an idle connection to it.
+fn with_idle_connection() -> Harness {
     let target = service("plain");
     let mut harness =
         Harness::serving(vec![route("/one/", target, Repeatability::Repeatable)], &[]);
@@ -28,46 +28,46 @@
 }
 
 #[test]
-fn what_it_was_before_is_forgotten() {
-    let mut harness = with_a_warm_server();
-    let before = harness.sent[0].connection;
+fn restarted_server_gets_new_connections() {
+    let mut harness = with_idle_connection();
+    let old_connection = harness.sent[0].connection;
     harness.opened.clear();
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
-    assert!(harness.closed.contains(&before));
+    assert!(harness.closed.contains(&old_connection));
     harness.ask("/one/2");
     harness.wait(millis(300));
     assert!(!harness.opened.is_empty());
     assert!(harness.opened.iter().all(|address| address.port() == 81));
     assert_ne!(
         harness.sent.last().map(|sent| sent.connection),
-        Some(before)
+        Some(old_connection)
     );
     assert_eq!(harness.sent.len(), 2);
 }
 
 #[test]
-fn the_end_of_its_old_connections_takes_nothing_from_it() {
-    let mut harness = with_a_warm_server();
+fn attempt_failed_by_restart_is_retried_on_new_run() {
+    let mut harness = with_idle_connection();
     let caller = harness.ask("/one/2");
-    let running = harness.sent[1].attempt;
+    let in_flight = harness.sent[1].attempt;
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed {
-        attempt: running,
+        attempt: in_flight,
         failure,
     });
     harness.wait(millis(300));
-    // The other run of the server gets the retry.
+    // The retry goes to the new run of the server.
     assert_eq!(harness.sent_for(caller).len(), 2);
 }
 
 #[test]
-fn an_entry_of_the_same_start_changes_nothing() {
-    let mut harness = with_a_warm_server();
+fn entry_of_same_run_keeps_connections() {
+    let mut harness = with_idle_connection();
     harness.closed.clear();
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS, 80)], 51);
     harness.wait(millis(400));
-    // One that does not say when it started is of the run that is known.
+    // An entry without a start time is of the known run.
     harness.changes(ViewKind::Registry, vec![entry(52, 0, 80)], 52);
     assert!(harness.closed.is_empty());
 }
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn a_server_whose_entry_became_unusable_is_gone() {
-    let mut harness = with_a_warm_server();
+fn unusable_entry_removes_the_server() {
+    let mut harness = with_idle_connection();
     assert_eq!(harness.gateway.instances(), 1);
     harness.changes(ViewKind::Registry, vec![unusable(51)], 51);
     assert_eq!(harness.gateway.instances(), 0);
-    // Its own entry comes back.
+    // The server writes its entry again.
     harness.wait(millis(400));
     let again = vec![unusable(52), entry(53, BORN_MS, 80)];
     harness.changes(ViewKind::Registry, again, 53);
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn an_object_that_says_nothing_of_itself_takes_no_server_away() {
-    let mut harness = with_a_warm_server();
+fn unusable_entry_without_revision_removes_no_server() {
+    let mut harness = with_idle_connection();
     harness.changes(ViewKind::Registry, vec![unusable(0)], 60);
     assert_eq!(harness.gateway.instances(), 1);
 }
--- a/crates/thornbridge-core/src/gateway/tests/sources.rs
+++ b/crates/thornbridge-core/src/gateway/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Reading the store: bounded in time, paused after failures, never two reads at once.
+//! Store reader: timeouts, backoff after failures, at most one read in flight.
 
 use crate::gateway::action::{GatewayAction, SourceRead};
 use crate::gateway::event::{SourceFailure, SourceReply, ViewKind};
@@ -12,28 +12,28 @@
 use std::time::Duration;
 use thornbridge_proto::peer::view::StoreRevision;
 
-/// What the store does with a read.
+/// Reaction of the store to a read.
 #[derive(Clone, Copy, Debug)]
-enum Store {
+enum StoreBehavior {
     Answers,
     Refuses,
-    Forgets,
-    IsSilent,
+    CompactsHistory,
+    TimesOut,
 }
 
-fn store() -> impl Strategy<Value = Store> {
+fn store_behavior() -> impl Strategy<Value = StoreBehavior> {
     prop_oneof![
-        Just(Store::Answers),
-        Just(Store::Refuses),
-        Just(Store::Forgets),
-        Just(Store::IsSilent)
+        Just(StoreBehavior::Answers),
+        Just(StoreBehavior::Refuses),
+        Just(StoreBehavior::CompactsHistory),
+        Just(StoreBehavior::TimesOut)
     ]
 }
 
 #[test]
-fn readers_that_started_together_read_at_different_times_while_the_store_is_silent() {
-    let mut starts: Vec<Timestamp> = Vec::new();
-    // Two views of nine nodes.
+fn retries_of_simultaneously_started_readers_are_spread() {
+    let mut read_times: Vec<Timestamp> = Vec::new();
+    // Nine nodes that read two views each.
     for seed in 0..18 {
         let mut reader = SourceReader::new(ViewKind::Registry, ViewParameters::default());
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -42,23 +42,23 @@
         while now.since_epoch() < Duration::from_secs(3) {
             reader.timer_due(now, &mut random, &mut actions);
             if !actions.is_empty() && now.since_epoch() >= Duration::from_secs(1) {
-                starts.push(now);
+                read_times.push(now);
             }
             actions.clear();
             now = reader.next_timeout();
         }
     }
-    starts.sort();
-    let gaps = starts.windows(2).map(|pair| pair[1].since(pair[0]));
+    read_times.sort();
+    let gaps = read_times.windows(2).map(|pair| pair[1].since(pair[0]));
     let longest = gaps.max().unwrap();
     assert!(
         longest <= Duration::from_millis(250),
-        "none for {longest:?}"
+        "no read for {longest:?}"
     );
 }
 
 #[test]
-fn the_last_of_many_readers_pause_longer_after_failures() {
+fn higher_ranks_back_off_longer() {
     let reads = |rank: usize| {
         let mut reader = SourceReader::new(ViewKind::Registry, ViewParameters::default());
         reader.set_rank(rank);
@@ -84,14 +84,14 @@
 
 proptest! {
     #[test]
-    fn reads_are_bounded_whatever_the_store_does(behaviour in prop::collection::vec(store(), 1..60)) {
+    fn at_most_one_read_in_flight_with_bounded_timeout(behaviors in prop::collection::vec(store_behavior(), 1..60)) {
         let parameters = ViewParameters::default();
         let mut reader = SourceReader::new(ViewKind::Registry, parameters.clone());
         let mut random = Pcg64Mcg::seed_from_u64(3);
         let mut actions = VecDeque::new();
         let mut now = Timestamp::ZERO;
         let mut revision = 10;
-        for step in behaviour {
+        for behavior in behaviors {
             now = now.max(reader.next_timeout());
             reader.timer_due(now, &mut random, &mut actions);
             let reads: Vec<(u64, SourceRead, Duration)> = actions
@@ -106,16 +106,16 @@
                 continue;
             };
             prop_assert!(timeout <= parameters.watch_wait + parameters.read_timeout);
-            let result = match (step, what) {
-                (Store::IsSilent, _) => continue,
-                (Store::Refuses, _) => Err(SourceFailure::Refused),
-                (Store::Forgets, _) => Err(SourceFailure::HistoryCompacted),
-                (Store::Answers, SourceRead::List { .. }) => Ok(SourceReply::Page {
+            let result = match (behavior, what) {
+                (StoreBehavior::TimesOut, _) => continue,
+                (StoreBehavior::Refuses, _) => Err(SourceFailure::Refused),
+                (StoreBehavior::CompactsHistory, _) => Err(SourceFailure::HistoryCompacted),
+                (StoreBehavior::Answers, SourceRead::List { .. }) => Ok(SourceReply::Page {
                     objects: Vec::new(),
                     next: None,
                     at: StoreRevision::without_era(revision),
                 }),
-                (Store::Answers, SourceRead::Watch { from, .. }) => {
+                (StoreBehavior::Answers, SourceRead::Watch { from, .. }) => {
                     prop_assert!(from.number <= revision);
                     revision += 1;
                     Ok(SourceReply::Changes { objects: Vec::new(), at: StoreRevision::without_era(revision) })
