--- a/crates/thornbridge-core/src/gateway/activation.rs
+++ b/crates/thornbridge-core/src/gateway/activation.rs
@@ -22,7 +22,7 @@
         let problems = configuration.problems();
         if !problems.is_empty() {
             let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
-            self.object_refused(format!("configuration {version}"), messages.join("; "));
+            self.report_rejected_object(format!("configuration {version}"), messages.join("; "));
             return false;
         }
         let services = services_of(&configuration, &mut self.servers);
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -9,7 +9,7 @@
 use super::pending::PendingRequest;
 use super::routes::RouteTable;
 use super::telemetry::{GatewayChange, RequestSummary, ViewOrigin};
-use super::views::peers::send_digest;
+use super::views::gossip::send_digest;
 use crate::driver_action::CallerId;
 use crate::membership::Membership;
 use crate::time::Timestamp;
@@ -91,7 +91,7 @@
             Some(self.configuration_source.next_timeout()),
             Some(self.registry_source.next_timeout()),
             Some(self.evacuation_source.next_timeout()),
-            self.peer_views.next_timeout(self.digest()),
+            self.view_gossip.next_timeout(self.digest()),
             self.freshness.next_timeout(self.now),
             self.servers.next_timeout(),
             self.exchanges.next_timeout(),
@@ -116,7 +116,7 @@
             quarantine: &mut self.quarantine,
             own_address: self.own_address,
             messages_may_be_stale: self.now < self.stale_until,
-            registry: self.registry.upto().unwrap_or_default(),
+            registry: self.registry.revision().unwrap_or_default(),
         };
         (&mut self.exchanges, context)
     }
@@ -138,8 +138,8 @@
             membership.machine_list_due(context);
         });
         self.read_sources();
-        let own = self.view_age();
-        self.peer_views
+        let own = self.view_status();
+        self.view_gossip
             .timer_due(self.now, &mut self.random, &mut self.actions, own);
         self.servers.timer_due(self.now, &mut self.actions);
         self.quarantine
@@ -147,11 +147,11 @@
         if self.next_maintenance <= self.now {
             self.next_maintenance = self.now + MAINTENANCE_INTERVAL;
             let kept = self.parameters.views.departures_kept;
-            self.registry.forget(self.now, kept);
+            self.registry.expire_tombstones(self.now, kept);
             let released = self.registry.release_held(self.now);
-            self.registry_changed(released, ViewOrigin::Own);
-            let ended = self.evacuations.forget_carried(self.now);
-            self.evacuations_changed(ended, ViewOrigin::Own);
+            self.apply_registry_changes(released, ViewOrigin::Own);
+            let ended = self.evacuations.expire_carried_over(self.now);
+            self.apply_evacuation_changes(ended, ViewOrigin::Own);
             self.divide();
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
@@ -168,7 +168,7 @@
     fn open_links(&mut self) {
         for owner in self.slices.links_to_open(self.now) {
             self.slices.message_sent(self.now, owner);
-            let digest = send_digest(owner, self.view_age());
+            let digest = send_digest(owner, self.view_status());
             self.actions.push_back(digest);
         }
     }
@@ -245,11 +245,11 @@
 
     /// Activates a staged configuration, routes waiting requests and updates readiness.
     fn settle(&mut self) {
-        self.judge_freshness();
+        self.update_reader_role();
         if self.staged_may_start() {
             self.put_in_force();
         }
-        if self.knows_views() {
+        if self.has_views() {
             for waiting in self.pending.take_all() {
                 self.route(waiting.caller, waiting.head, waiting.arrived);
             }
@@ -262,7 +262,7 @@
     }
 
     fn is_ready_to_serve(&self) -> bool {
-        if self.stopping || !self.knows_views() {
+        if self.stopping || !self.has_views() {
             return false;
         }
         if self.ready || self.now.since_epoch() >= WARM_UP_TIMEOUT {
@@ -274,7 +274,7 @@
     }
 
     fn request(&mut self, caller: CallerId, head: RequestHead) {
-        if self.knows_views() {
+        if self.has_views() {
             self.route(caller, head, self.now);
             return;
         }
@@ -341,7 +341,7 @@
             head.fingerprint,
             String::new(),
             self.routes.version,
-            self.registry.upto().unwrap_or_default(),
+            self.registry.revision().unwrap_or_default(),
             reason,
         );
         note.took = waited;
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -53,7 +53,7 @@
         let own = view.own().endpoint.address;
         let own_sharer = sharer(view.own());
         let members = view.members().iter().map(sharer);
-        self.peer_views.set_peers(&own_sharer, members);
+        self.view_gossip.set_peers(&own_sharer, members);
         let endpoints = view.members().iter().map(|member| member.endpoint);
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
@@ -64,7 +64,7 @@
         for source in self.sources_mut() {
             source.set_rank(rank);
         }
-        self.peer_views.set_readers(&own_sharer, &sharers, rank);
+        self.view_gossip.set_readers(&own_sharer, &sharers, rank);
         let members = sharers.len().max(1);
         self.update_budget_sharers(members);
         self.slices.set_members(sharers.clone());
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 mod handling;
 mod members;
 mod parameters;
-mod peer_viewing;
+mod peer_messages;
 mod pending;
 mod quarantine;
 mod routes;
@@ -36,7 +36,7 @@
 mod telemetry;
 #[cfg(test)]
 mod tests;
-mod viewing;
+mod view_updates;
 mod views;
 mod window;
 mod work;
@@ -57,7 +57,7 @@
     AttemptCause, AttemptOutcome, AttemptSummary, GatewayChange, RequestSummary, SliceOutcome,
     SliceSummary, ViewOrigin,
 };
-pub use views::era::{EndedEra, EraTracker, ToldEra};
+pub use views::era::{EraTracker, ReportedEra, StaleEra};
 
 use crate::driver_action::Action;
 use crate::membership::Membership;
@@ -82,7 +82,7 @@
 use thornbridge_proto::{Incarnation, NodeName};
 use views::evacuations::Evacuations;
 use views::freshness::Freshness;
-use views::peers::PeerViews;
+use views::gossip::ViewGossip;
 use views::registry::Registry;
 use views::source::SourceReader;
 
@@ -117,7 +117,7 @@
     configuration_source: SourceReader,
     registry_source: SourceReader,
     evacuation_source: SourceReader,
-    peer_views: PeerViews,
+    view_gossip: ViewGossip,
     registry: Registry,
     evacuations: Evacuations,
     configuration: Option<Arc<RouteConfiguration>>,
@@ -175,7 +175,7 @@
                 .following(),
             registry_source: SourceReader::new(ViewKind::Registry, views.clone()).following(),
             evacuation_source: SourceReader::new(ViewKind::Evacuations, views.clone()).following(),
-            peer_views: PeerViews::new(views.clone()),
+            view_gossip: ViewGossip::new(views.clone()),
             registry: Registry::default(),
             evacuations: Evacuations::default(),
             configuration: None,
@@ -236,7 +236,7 @@
 
     /// Store era of the registry view; 0 if the store reports none.
     pub fn store_era(&self) -> u64 {
-        self.registry.upto().unwrap_or_default().era
+        self.registry.revision().unwrap_or_default().era
     }
 
     /// Version of the active configuration; 0 if there is none.
--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_messages.rs
@@ -32,16 +32,16 @@
     pub(super) fn view_message(&mut self, peer: SocketAddr, message: ViewMessage) {
         if let Some(era) = self.implausible_era(&message) {
             let reason = format!("implausible store era {era}");
-            self.object_refused(format!("view message of {peer}"), reason);
+            self.report_rejected_object(format!("view message of {peer}"), reason);
             return;
         }
         match message {
             ViewMessage::Digest { digest, age_ms } => {
                 let age = Duration::from_millis(u64::from(age_ms));
-                let own = self.view_age();
+                let own = self.view_status();
                 self.freshness
                     .record_peer_digest(self.now, own.digest, digest, age);
-                self.peer_views
+                self.view_gossip
                     .handle_digest(self.now, &mut self.actions, peer, digest, age, own);
             }
             ViewMessage::Pull(peer_digest) => self.answer_pull(peer, peer_digest),
@@ -63,8 +63,8 @@
             ViewMessage::Evacuations(evacuated) => evacuated.at.era,
             ViewMessage::Configuration { .. } => return None,
         };
-        let known = self.registry.upto().map(|upto| upto.era);
-        (!is_plausible_era(known, era)).then_some(era)
+        let current = self.registry.revision().map(|revision| revision.era);
+        (!is_plausible_era(current, era)).then_some(era)
     }
 
     pub(super) fn answer_pull(&mut self, peer: SocketAddr, peer_digest: ViewDigest) {
@@ -95,7 +95,7 @@
 
     pub(super) fn apply_peer_configuration(&mut self, peer: SocketAddr, encoded: &[u8]) {
         let Ok(configuration) = rmp_serde::from_slice::<RouteConfiguration>(encoded) else {
-            self.object_refused(format!("configuration of {peer}"), "malformed".to_owned());
+            self.report_rejected_object(format!("configuration of {peer}"), "malformed".to_owned());
             return;
         };
         if self.take_configuration(configuration, ViewOrigin::Peer) {
@@ -105,16 +105,16 @@
 
     /// Announces changed views. `from`: the peer that sent the change; `None` for the store.
     pub(super) fn announce(&mut self, from: Option<SocketAddr>) {
-        let own = self.view_age();
-        self.peer_views
+        let own = self.view_status();
+        self.view_gossip
             .announce(&mut self.random, &mut self.actions, own, from);
     }
 
     pub(super) fn apply_peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
-        let before = self.registry.upto();
+        let before = self.registry.revision();
         let changes = self.registry.apply_delta(self.now, delta);
         let changed = !changes.is_empty();
-        self.apply_registry_update(before, changes, ViewOrigin::Peer);
+        self.registry_updated(before, changes, ViewOrigin::Peer);
         if changed {
             self.announce(Some(peer));
         }
@@ -123,7 +123,7 @@
     fn apply_peer_evacuations(&mut self, peer: SocketAddr, evacuated: EvacuatedZones) {
         let changes = self.evacuations.replace(evacuated.zones, evacuated.at);
         let changed = !changes.is_empty();
-        self.evacuations_changed(changes, ViewOrigin::Peer);
+        self.apply_evacuation_changes(changes, ViewOrigin::Peer);
         if changed {
             self.announce(Some(peer));
         }
--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -10,8 +10,8 @@
 use crate::gateway::views::registry::Registry;
 use crate::gateway::views::source::SourceReader;
 use crate::gateway::{
-    EndedEra, EraTracker, GatewayAction, GatewayEvent, SourceRead, SourceReply, ToldEra, ViewKind,
-    ViewObject,
+    EraTracker, GatewayAction, GatewayEvent, ReportedEra, SourceRead, SourceReply, StaleEra,
+    ViewKind, ViewObject,
 };
 use crate::time::Timestamp;
 use assert_matches::assert_matches;
@@ -78,7 +78,7 @@
     let mut listed = restored_entries();
     listed.push(ready(at(2, 91), "new"));
     registry.replace(Timestamp::ZERO, listed, at(2, 91));
-    assert_eq!(registry.upto(), Some(at(2, 91)));
+    assert_eq!(registry.revision(), Some(at(2, 91)));
     assert_eq!(states(&registry)["new"], InstanceState::Ready);
     let (revision, later) = ready(at(2, 92), "later");
     assert!(registry.upsert(revision, later).is_some());
@@ -150,7 +150,7 @@
             .is_none()
     );
     assert_eq!(states(&registry), known);
-    assert_eq!(registry.upto(), Some(at(2, 90)));
+    assert_eq!(registry.revision(), Some(at(2, 90)));
 }
 
 #[test]
@@ -161,11 +161,11 @@
     partitioned.upsert(revision, unreplicated);
     partitioned.advance_to(at(1, 1_000));
     current.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
-    assert!(partitioned.delta(current.upto().unwrap()).is_none());
-    let delta = current.delta(partitioned.upto().unwrap()).unwrap();
+    assert!(partitioned.delta(current.revision().unwrap()).is_none());
+    let delta = current.delta(partitioned.revision().unwrap()).unwrap();
     assert_eq!(delta.since, None);
     partitioned.apply_delta(Timestamp::ZERO, delta);
-    assert_eq!(partitioned.upto(), current.upto());
+    assert_eq!(partitioned.revision(), current.revision());
     assert_eq!(states(&partitioned), states(&current));
 }
 
@@ -204,20 +204,20 @@
 #[test]
 fn era_tracker_rejects_stale_and_ignores_implausible_eras() {
     let mut tracker = EraTracker::default();
-    assert_eq!(tracker.take(&ToldEra::Missing), Ok((0, true)));
-    assert_eq!(tracker.take(&ToldEra::Told(7)), Ok((7, true)));
-    let text = ToldEra::Unreadable("seven".to_owned());
-    assert_eq!(tracker.take(&text), Ok((7, false)));
-    assert_eq!(tracker.take(&ToldEra::Told(u64::MAX)), Ok((7, false)));
-    assert_eq!(tracker.take(&ToldEra::Missing), Ok((7, true)));
-    assert_eq!(tracker.take(&ToldEra::Told(8)), Ok((8, true)));
-    let ended = EndedEra {
+    assert_eq!(tracker.observe(&ReportedEra::Missing), Ok((0, true)));
+    assert_eq!(tracker.observe(&ReportedEra::Era(7)), Ok((7, true)));
+    let text = ReportedEra::Unreadable("seven".to_owned());
+    assert_eq!(tracker.observe(&text), Ok((7, false)));
+    assert_eq!(tracker.observe(&ReportedEra::Era(u64::MAX)), Ok((7, false)));
+    assert_eq!(tracker.observe(&ReportedEra::Missing), Ok((7, true)));
+    assert_eq!(tracker.observe(&ReportedEra::Era(8)), Ok((8, true)));
+    let ended = StaleEra {
         reported: 7,
         current: 8,
     };
-    assert_eq!(tracker.take(&ToldEra::Told(7)), Err(ended));
+    assert_eq!(tracker.observe(&ReportedEra::Era(7)), Err(ended));
     let mut fresh = EraTracker::default();
-    assert_eq!(fresh.take(&ToldEra::Told(u64::MAX)), Ok((0, false)));
+    assert_eq!(fresh.observe(&ReportedEra::Era(u64::MAX)), Ok((0, false)));
 }
 
 #[test]
@@ -237,17 +237,17 @@
     };
     assert!(
         evacuations
-            .take([started_change].into_iter(), at(2, 91))
+            .apply([started_change].into_iter(), at(2, 91))
             .is_empty()
     );
-    let ended = evacuations.take([ended_change("a")].into_iter(), at(2, 92));
+    let ended = evacuations.apply([ended_change("a")].into_iter(), at(2, 92));
     assert_eq!(ended, [ended_change("a")]);
 
     evacuations.replace(only("b"), at(2, 93));
     evacuations.replace(BTreeSet::new(), at(3, 80));
-    assert!(evacuations.forget_carried(Timestamp::ZERO).is_empty());
+    assert!(evacuations.expire_carried_over(Timestamp::ZERO).is_empty());
     let later = Timestamp::ZERO + Duration::from_secs(31);
-    assert_eq!(evacuations.forget_carried(later), [ended_change("b")]);
+    assert_eq!(evacuations.expire_carried_over(later), [ended_change("b")]);
 }
 
 /// A gateway with a ready and a draining server, as of the first era.
@@ -427,11 +427,11 @@
                 Step::Backup => model.backup = (model.revision, model.entries.clone()),
                 Step::Restore => model.restore(),
                 Step::List(replica) => {
-                    let (entries, upto) = model.list();
-                    replicas[replica].replace(now, entries, upto);
+                    let (entries, revision) = model.list();
+                    replicas[replica].replace(now, entries, revision);
                 }
                 Step::Pull(from, to) => {
-                    let since = replicas[to].upto().unwrap_or_default();
+                    let since = replicas[to].revision().unwrap_or_default();
                     if from != to && let Some(delta) = replicas[from].delta(since) {
                         replicas[to].apply_delta(now, delta);
                     }
@@ -446,9 +446,9 @@
             }
         }
         // After a final list, all replicas agree with the actual servers.
-        let (entries, upto) = model.list();
+        let (entries, revision) = model.list();
         for replica in &mut replicas {
-            replica.replace(now, entries.clone(), upto);
+            replica.replace(now, entries.clone(), revision);
             let states = states(replica);
             for (id, state) in &model.running {
                 let known = states.get(id);
--- a/crates/thornbridge-core/src/gateway/tests/evacuations.rs
+++ b/crates/thornbridge-core/src/gateway/tests/evacuations.rs
@@ -210,7 +210,7 @@
         // Revision that each replica watches from.
         let mut watch_from: [Option<u64>; 2] = [None, None];
         for step in steps {
-            let before = [replicas[0].at(), replicas[1].at()];
+            let before = [replicas[0].revision(), replicas[1].revision()];
             let at = StoreRevision::without_era(store.revision());
             match step {
                 Step::Start(zone) => store.set(zone, true),
@@ -224,20 +224,20 @@
                     let new_events = store.events.iter().filter(|(revision, _)| *revision > from);
                     let new_events: Vec<_> = new_events.map(|(_, change)| change.clone()).collect();
                     if !new_events.is_empty() {
-                        replicas[replica].take(new_events.into_iter(), at);
+                        replicas[replica].apply(new_events.into_iter(), at);
                     }
                     watch_from[replica] = Some(at.number);
                 }
                 Step::Pull(to) => {
-                    let known = replicas[to].at().unwrap_or_default();
+                    let known = replicas[to].revision().unwrap_or_default();
                     if let Some(newer) = replicas[1 - to].newer_than(known) {
                         replicas[to].replace(newer.zones, newer.at);
                     }
                 }
             }
             for (replica, before) in replicas.iter().zip(before) {
-                prop_assert!(replica.at() >= before);
-                let Some(at) = replica.at() else { continue };
+                prop_assert!(replica.revision() >= before);
+                let Some(at) = replica.revision() else { continue };
                 let expected = &store.zones_by_revision[at.number as usize - 1];
                 let all = replica.newer_than(StoreRevision::without_era(0)).expect("no evacuations known");
                 prop_assert_eq!(&all.zones, expected);
--- a/crates/thornbridge-core/src/gateway/tests/registries.rs
+++ b/crates/thornbridge-core/src/gateway/tests/registries.rs
@@ -105,23 +105,23 @@
                     replicas[replica].replace(now, entries.collect(), at);
                 }
                 Step::Pull(from, to) => {
-                    let since = replicas[to].upto().unwrap_or_default();
+                    let since = replicas[to].revision().unwrap_or_default();
                     if from != to && let Some(delta) = replicas[from].delta(since) {
                         replicas[to].apply_delta(now, delta);
                     }
                 }
-                Step::ExpireTombstones(replica) => replicas[replica].forget(now, std::time::Duration::from_secs(5)),
+                Step::ExpireTombstones(replica) => replicas[replica].expire_tombstones(now, std::time::Duration::from_secs(5)),
             }
             for replica in &replicas {
-                let Some(upto) = replica.upto() else { continue };
-                prop_assert_eq!(replica.entries(), store.state_at(upto.number));
+                let Some(revision) = replica.revision() else { continue };
+                prop_assert_eq!(replica.entries(), store.state_at(revision.number));
             }
         }
     }
 }
 
 fn watch(store: &Store, replica: &mut Registry, now: Timestamp) {
-    let Some(from) = replica.upto() else {
+    let Some(from) = replica.revision() else {
         return;
     };
     let at = StoreRevision::without_era(store.revision);
--- a/crates/thornbridge-core/src/gateway/viewing.rs
+++ b/crates/thornbridge-core/src/gateway/view_updates.rs
@@ -5,7 +5,7 @@
 use super::event::{SourceFailure, SourceReply, ViewKind, ViewObject};
 use super::telemetry::{GatewayChange, ViewOrigin};
 use super::views::evacuations::EvacuationChange;
-use super::views::peers::ViewAge;
+use super::views::gossip::ViewStatus;
 use super::views::registry::RegistryChange;
 use super::views::source::{SourceReader, SourceUpdate};
 use crate::time::Timestamp;
@@ -24,14 +24,14 @@
         let staged = self.staging.version().map_or(0, |version| version.0);
         ViewDigest {
             configuration: in_force.max(staged),
-            registry: self.registry.upto().unwrap_or_default(),
-            evacuations: self.evacuations.at().unwrap_or_default(),
+            registry: self.registry.revision().unwrap_or_default(),
+            evacuations: self.evacuations.revision().unwrap_or_default(),
         }
     }
 
     /// Digest of this node's views, and when the store last confirmed them.
-    pub(super) fn view_age(&self) -> ViewAge {
-        ViewAge {
+    pub(super) fn view_status(&self) -> ViewStatus {
+        ViewStatus {
             digest: self.digest(),
             confirmed_at: self.freshness.confirmed_at(),
             now: self.now,
@@ -39,7 +39,7 @@
     }
 
     /// Starts or stops reading the store according to staleness and rank.
-    pub(super) fn judge_freshness(&mut self) {
+    pub(super) fn update_reader_role(&mut self) {
         if let Some(oldest) = self.oldest_confirmation() {
             self.freshness.confirm(oldest);
         }
@@ -47,9 +47,9 @@
         self.freshness.confirm_if_caught_up(digest);
         let is_joining = self.joins_through_others && self.now.since_epoch() < JOIN_GRACE_PERIOD;
         let following = is_joining || !self.freshness.should_read(self.now);
-        self.set_reading(!following);
+        self.report_reader_change(!following);
         let (now, actions) = (self.now, &mut self.actions);
-        let current = self.registry.upto();
+        let current = self.registry.revision();
         self.configuration_source
             .set_following(now, actions, following, None);
         self.registry_source
@@ -78,7 +78,7 @@
         ]
     }
 
-    fn set_reading(&mut self, reads: bool) {
+    fn report_reader_change(&mut self, reads: bool) {
         if reads == self.reads {
             return;
         }
@@ -144,7 +144,9 @@
                 ViewObject::Configuration(configuration) => {
                     changed |= self.take_configuration(configuration, ViewOrigin::Store);
                 }
-                ViewObject::Unusable { name, reason, .. } => self.object_refused(name, reason),
+                ViewObject::Unusable { name, reason, .. } => {
+                    self.report_rejected_object(name, reason)
+                }
                 ViewObject::EvacuationStarted(zone) => {
                     evacuated.insert(zone);
                 }
@@ -152,16 +154,16 @@
             }
         }
         if kind == ViewKind::Evacuations {
-            let first = self.evacuations.at().is_none();
+            let first = self.evacuations.revision().is_none();
             let changes = self.evacuations.replace(evacuated, at);
             changed |= first || !changes.is_empty();
-            self.evacuations_changed(changes, ViewOrigin::Store);
+            self.apply_evacuation_changes(changes, ViewOrigin::Store);
         }
         if kind == ViewKind::Registry {
-            let before = self.registry.upto();
+            let before = self.registry.revision();
             let changes = self.registry.replace(self.now, entries, at);
             changed |= !changes.is_empty();
-            self.apply_registry_update(before, changes, ViewOrigin::Store);
+            self.registry_updated(before, changes, ViewOrigin::Store);
         }
         changed
     }
@@ -169,7 +171,7 @@
     /// Applies registry changes and reports them. `before`: revision of the registry before them.
     ///
     /// A summary replaces the reports of single instances if the registry was unknown before.
-    pub(super) fn apply_registry_update(
+    pub(super) fn registry_updated(
         &mut self,
         before: Option<StoreRevision>,
         changes: Vec<RegistryChange>,
@@ -177,7 +179,7 @@
     ) {
         let actions_before = self.actions.len();
         let changed = changes.len();
-        self.registry_changed(changes, origin);
+        self.apply_registry_changes(changes, origin);
         if let Some(before) = before {
             self.report_new_era(before, changed, origin);
             return;
@@ -193,7 +195,7 @@
         self.actions.extend(others);
         let change = GatewayChange::RegistryLoaded {
             instances: self.registry.len(),
-            revision: self.registry.upto().unwrap_or_default(),
+            revision: self.registry.revision().unwrap_or_default(),
             origin,
         };
         self.actions.push_back(GatewayAction::Changed(change));
@@ -201,7 +203,7 @@
 
     /// Reports a new era of the store, if the changes began one.
     fn report_new_era(&mut self, before: StoreRevision, changed: usize, origin: ViewOrigin) {
-        let current = self.registry.upto().unwrap_or_default();
+        let current = self.registry.revision().unwrap_or_default();
         if current.era == before.era {
             return;
         }
@@ -254,7 +256,7 @@
                         let id = BackEndId::new(name.as_str());
                         changes.extend(self.registry.remove(self.now, revision, at, &id));
                     }
-                    self.object_refused(name, reason);
+                    self.report_rejected_object(name, reason);
                 }
             }
         }
@@ -262,21 +264,25 @@
             self.registry.advance_to(at);
         }
         if !evacuation_changes.is_empty() {
-            let evacuation_changes = self.evacuations.take(evacuation_changes.into_iter(), at);
+            let evacuation_changes = self.evacuations.apply(evacuation_changes.into_iter(), at);
             changed |= !evacuation_changes.is_empty();
-            self.evacuations_changed(evacuation_changes, ViewOrigin::Store);
+            self.apply_evacuation_changes(evacuation_changes, ViewOrigin::Store);
         }
         changed |= !changes.is_empty();
-        self.registry_changed(changes, ViewOrigin::Store);
+        self.apply_registry_changes(changes, ViewOrigin::Store);
         changed
     }
 
-    pub(super) fn object_refused(&mut self, name: String, reason: String) {
+    pub(super) fn report_rejected_object(&mut self, name: String, reason: String) {
         let change = GatewayChange::ObjectRejected { name, reason };
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
-    pub(super) fn registry_changed(&mut self, changes: Vec<RegistryChange>, origin: ViewOrigin) {
+    pub(super) fn apply_registry_changes(
+        &mut self,
+        changes: Vec<RegistryChange>,
+        origin: ViewOrigin,
+    ) {
         if changes.is_empty() {
             return;
         }
@@ -304,7 +310,7 @@
     }
 
     /// Applies starts and ends of evacuations to the servers, and reports them.
-    pub(super) fn evacuations_changed(
+    pub(super) fn apply_evacuation_changes(
         &mut self,
         changes: Vec<EvacuationChange>,
         origin: ViewOrigin,
@@ -318,7 +324,7 @@
                 zone,
                 evacuated,
                 servers,
-                revision: self.evacuations.at().unwrap_or_default(),
+                revision: self.evacuations.revision().unwrap_or_default(),
                 origin,
             };
             self.actions.push_back(GatewayAction::Changed(change));
@@ -336,7 +342,7 @@
     }
 
     /// Whether this node has a configuration and a registry.
-    pub(super) fn knows_views(&self) -> bool {
-        self.configuration.is_some() && self.registry.upto().is_some()
+    pub(super) fn has_views(&self) -> bool {
+        self.configuration.is_some() && self.registry.revision().is_some()
     }
 }
--- a/crates/thornbridge-core/src/gateway/views/era.rs
+++ b/crates/thornbridge-core/src/gateway/views/era.rs
@@ -12,19 +12,19 @@
 
 /// Era reported by an answer of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ToldEra {
+pub enum ReportedEra {
     /// No era reported.
     Missing,
     /// Value that does not parse as an era.
     Unreadable(String),
     /// Parsed era.
-    Told(u64),
+    Era(u64),
 }
 
 /// Error: an answer of an era older than the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("answer of era {reported} after one of era {current}"))]
-pub struct EndedEra {
+pub struct StaleEra {
     /// Era of the answer.
     pub reported: u64,
     /// Current era.
@@ -41,19 +41,19 @@
     /// Returns the era to assign to an answer, and whether its reported era was acceptable.
     ///
     /// An answer with a missing, unreadable or implausible era is assigned to the current era.
-    pub fn take(&mut self, reported: &ToldEra) -> Result<(u64, bool), EndedEra> {
+    pub fn observe(&mut self, reported: &ReportedEra) -> Result<(u64, bool), StaleEra> {
         let current = self.current.unwrap_or_default();
         match reported {
-            ToldEra::Missing => Ok((current, true)),
-            ToldEra::Told(reported) if *reported < current => Err(EndedEra {
+            ReportedEra::Missing => Ok((current, true)),
+            ReportedEra::Era(reported) if *reported < current => Err(StaleEra {
                 reported: *reported,
                 current,
             }),
-            ToldEra::Told(reported) if is_plausible_era(self.current, *reported) => {
+            ReportedEra::Era(reported) if is_plausible_era(self.current, *reported) => {
                 self.current = Some(*reported);
                 Ok((*reported, true))
             }
-            ToldEra::Told(_) | ToldEra::Unreadable(_) => Ok((current, false)),
+            ReportedEra::Era(_) | ReportedEra::Unreadable(_) => Ok((current, false)),
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/views/evacuations.rs
+++ b/crates/thornbridge-core/src/gateway/views/evacuations.rs
@@ -24,7 +24,7 @@
 /// Evacuated zones in effect.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct Evacuations {
-    at: Option<StoreRevision>,
+    revision: Option<StoreRevision>,
     zones: BTreeSet<ZoneName>,
     /// Zones evacuated in an earlier era that the store does not list in this one.
     carried_over: BTreeSet<ZoneName>,
@@ -33,16 +33,19 @@
 }
 
 impl Evacuations {
-    /// Revision of the last change; `None` before the first list.
+    /// Revision of the last list or change applied; `None` before the first list.
     ///
     /// An empty watch does not advance the revision, so that nodes do not gossip about it.
-    pub(in crate::gateway) fn at(&self) -> Option<StoreRevision> {
-        self.at
+    pub(in crate::gateway) fn revision(&self) -> Option<StoreRevision> {
+        self.revision
     }
 
     /// The whole set if newer than the revision of a peer.
-    pub(in crate::gateway) fn newer_than(&self, known: StoreRevision) -> Option<EvacuatedZones> {
-        let at = self.at.filter(|at| *at > known)?;
+    pub(in crate::gateway) fn newer_than(
+        &self,
+        peer_revision: StoreRevision,
+    ) -> Option<EvacuatedZones> {
+        let at = self.revision.filter(|at| *at > peer_revision)?;
         let zones = self.zones.clone();
         Some(EvacuatedZones { at, zones })
     }
@@ -53,27 +56,27 @@
         zones: BTreeSet<ZoneName>,
         at: StoreRevision,
     ) -> Vec<EvacuationChange> {
-        if self.at.is_some_and(|known| known >= at) {
+        if self.revision.is_some_and(|own| own >= at) {
             return Vec::new();
         }
         let before = self.effective_zones();
-        if self.at.is_some_and(|known| known.era < at.era) {
+        if self.revision.is_some_and(|own| own.era < at.era) {
             self.carried_over.clone_from(&before);
             self.carried_over_since = None;
         }
         self.carried_over.retain(|zone| !zones.contains(zone));
-        self.at = Some(at);
+        self.revision = Some(at);
         self.zones = zones;
         self.changes_since(&before)
     }
 
     /// Applies changes up to a revision, oldest first; returns the zones whose evacuation changed.
-    pub(in crate::gateway) fn take(
+    pub(in crate::gateway) fn apply(
         &mut self,
         changes: impl Iterator<Item = EvacuationChange>,
         at: StoreRevision,
     ) -> Vec<EvacuationChange> {
-        if self.at.is_some_and(|known| known >= at) {
+        if self.revision.is_some_and(|own| own >= at) {
             return Vec::new();
         }
         let before = self.effective_zones();
@@ -84,12 +87,15 @@
                 false => self.zones.remove(&zone),
             };
         }
-        self.at = Some(at);
+        self.revision = Some(at);
         self.changes_since(&before)
     }
 
     /// Ends carried-over evacuations after the grace period; returns the zones that changed.
-    pub(in crate::gateway) fn forget_carried(&mut self, now: Timestamp) -> Vec<EvacuationChange> {
+    pub(in crate::gateway) fn expire_carried_over(
+        &mut self,
+        now: Timestamp,
+    ) -> Vec<EvacuationChange> {
         if self.carried_over.is_empty() {
             return Vec::new();
         }
--- a/crates/thornbridge-core/src/gateway/views/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/views/freshness.rs
@@ -5,7 +5,7 @@
 //! report how long ago the store confirmed a view. If the reader is partitioned or the store does
 //! not answer, a member whose views stay unconfirmed reads the store itself, lower ranks first.
 
-use super::peers::is_behind;
+use super::gossip::is_behind;
 use crate::time::Timestamp;
 use std::time::Duration;
 use thornbridge_proto::peer::view::ViewDigest;
--- a/crates/thornbridge-core/src/gateway/views/peers.rs
+++ b/crates/thornbridge-core/src/gateway/views/gossip.rs
@@ -45,7 +45,7 @@
 
 /// The exchange of views with peers.
 #[derive(Debug)]
-pub(in crate::gateway) struct PeerViews {
+pub(in crate::gateway) struct ViewGossip {
     parameters: ViewParameters,
     peers: ZonePeers,
     /// Members to poll, in order of preference.
@@ -64,7 +64,7 @@
     next_remote_pull: Timestamp,
 }
 
-impl PeerViews {
+impl ViewGossip {
     pub(in crate::gateway) fn new(parameters: ViewParameters) -> Self {
         Self {
             parameters,
@@ -112,7 +112,7 @@
 
     /// Sends a digest to the current poll target; moves on to the next target if the previous poll
     /// brought no newer confirmation.
-    fn poll(&mut self, actions: &mut VecDeque<GatewayAction>, own: ViewAge) {
+    fn poll(&mut self, actions: &mut VecDeque<GatewayAction>, own: ViewStatus) {
         if own.confirmed_at <= self.confirmed_at_last_poll {
             self.poll_index += 1;
         }
@@ -142,7 +142,7 @@
         now: Timestamp,
         random: &mut Pcg64Mcg,
         actions: &mut VecDeque<GatewayAction>,
-        view: ViewAge,
+        view: ViewStatus,
     ) {
         let own = view.digest;
         if !self.poll_targets.is_empty() && self.next_poll <= now {
@@ -222,7 +222,7 @@
         &mut self,
         random: &mut Pcg64Mcg,
         actions: &mut VecDeque<GatewayAction>,
-        own: ViewAge,
+        own: ViewStatus,
         from: Option<SocketAddr>,
     ) {
         let fanout = self.parameters.digest_fanout;
@@ -245,7 +245,7 @@
         peer: SocketAddr,
         theirs: ViewDigest,
         their_age: Duration,
-        view: ViewAge,
+        view: ViewStatus,
     ) {
         let own = view.digest;
         let peer_is_behind = is_behind(theirs, own) && !is_behind(own, theirs);
@@ -305,13 +305,13 @@
 
 /// Digest of this node's views, and when the store last confirmed them.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::gateway) struct ViewAge {
+pub(in crate::gateway) struct ViewStatus {
     pub(in crate::gateway) digest: ViewDigest,
     pub(in crate::gateway) confirmed_at: Option<Timestamp>,
     pub(in crate::gateway) now: Timestamp,
 }
 
-impl ViewAge {
+impl ViewStatus {
     fn age_at(&self, now: Timestamp) -> Duration {
         self.confirmed_at
             .map_or(Duration::MAX / 2, |at| now.since(at))
@@ -333,7 +333,7 @@
 }
 
 /// Sends this node's digest to a peer.
-pub(in crate::gateway) fn send_digest(to: SocketAddr, view: ViewAge) -> GatewayAction {
+pub(in crate::gateway) fn send_digest(to: SocketAddr, view: ViewStatus) -> GatewayAction {
     let age = view.age_at(view.now).as_millis();
     let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
     let digest = view.digest;
--- a/crates/thornbridge-core/src/gateway/views/registry.rs
+++ b/crates/thornbridge-core/src/gateway/views/registry.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Default)]
 #[cfg_attr(test, derive(Clone))]
 pub(in crate::gateway) struct Registry {
-    upto: Option<StoreRevision>,
+    revision: Option<StoreRevision>,
     entries: BTreeMap<BackEndId, (StoreRevision, Instance)>,
     tombstones: BTreeMap<BackEndId, Tombstone>,
     /// Oldest revision from which a delta contains all removals.
@@ -55,13 +55,13 @@
 
 impl Registry {
     /// Revision up to which the registry is complete; `None` before the first list.
-    pub(in crate::gateway) fn upto(&self) -> Option<StoreRevision> {
-        self.upto
+    pub(in crate::gateway) fn revision(&self) -> Option<StoreRevision> {
+        self.revision
     }
 
     /// Whether a revision belongs to an earlier era than the registry.
     fn is_from_earlier_era(&self, revision: StoreRevision) -> bool {
-        self.upto.is_some_and(|upto| revision.era < upto.era)
+        self.revision.is_some_and(|own| revision.era < own.era)
     }
 
     /// Adds or updates an entry; `None` if the registry already has a newer state.
@@ -128,7 +128,7 @@
 
     /// Marks the registry complete up to a revision.
     pub(in crate::gateway) fn advance_to(&mut self, revision: StoreRevision) {
-        self.upto = Some(self.upto.map_or(revision, |known| known.max(revision)));
+        self.revision = Some(self.revision.map_or(revision, |known| known.max(revision)));
     }
 
     /// Replaces the registry by a list as of a revision; removes older entries that are not listed.
@@ -141,15 +141,15 @@
         if self.is_from_earlier_era(at) {
             return Vec::new();
         }
-        if self.upto.is_some_and(|upto| upto > at) {
+        if self.revision.is_some_and(|own| own > at) {
             // The list is older than the registry: only unknown and newer entries apply.
             return entries
                 .into_iter()
                 .filter_map(|(revision, instance)| self.upsert(revision, instance))
                 .collect();
         }
-        let entries = match self.upto {
-            Some(upto) if upto.era < at.era => self.merge_restored(entries),
+        let entries = match self.revision {
+            Some(own) if own.era < at.era => self.merge_restored(entries),
             _ => entries,
         };
         let listed_ids: BTreeSet<BackEndId> = entries
@@ -229,7 +229,7 @@
 
     /// Changes after `since` for a peer; `None` if there are none.
     pub(in crate::gateway) fn delta(&self, since: StoreRevision) -> Option<RegistryDelta> {
-        let upto = self.upto?;
+        let upto = self.revision?;
         if since >= upto {
             return None;
         }
@@ -266,7 +266,7 @@
         let Some(since) = delta.since else {
             return self.replace(now, delta.present, delta.upto);
         };
-        let has_gap = self.upto.is_none_or(|upto| upto < since);
+        let has_gap = self.revision.is_none_or(|own| own < since);
         if has_gap || self.is_from_earlier_era(delta.upto) {
             return Vec::new();
         }
@@ -302,7 +302,7 @@
     }
 
     /// Drops tombstones older than `retention`.
-    pub(in crate::gateway) fn forget(&mut self, now: Timestamp, retention: Duration) {
+    pub(in crate::gateway) fn expire_tombstones(&mut self, now: Timestamp, retention: Duration) {
         let min_delta_base = &mut self.min_delta_base;
         self.tombstones.retain(|_, tombstone| {
             let keep = now.since(tombstone.recorded_at) <= retention;
--- a/crates/thornbridge-node/src/gateway/store.rs
+++ b/crates/thornbridge-node/src/gateway/store.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use thornbridge_core::gateway::{
-    EraTracker, GatewayEvent, SourceFailure, SourceRead, SourceReply, ToldEra, ViewKind,
+    EraTracker, GatewayEvent, ReportedEra, SourceFailure, SourceRead, SourceReply, ViewKind,
 };
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -27,7 +27,7 @@
     /// The call for a read.
     fn request(&self, kind: ViewKind, read: &SourceRead) -> Request<Full<Bytes>>;
     /// What the head of its answer says of its era.
-    fn era(&self, headers: &HeaderMap) -> ToldEra;
+    fn era(&self, headers: &HeaderMap) -> ReportedEra;
     /// What its answer says.
     fn reply(
         &self,
@@ -99,9 +99,9 @@
     }
 
     /// The era that an answer belongs to.
-    fn take_era(&self, kind: ViewKind, told: &ToldEra) -> Result<u64, SourceFailure> {
+    fn take_era(&self, kind: ViewKind, told: &ReportedEra) -> Result<u64, SourceFailure> {
         let mut tracker = self.era.lock().unwrap_or_else(PoisonError::into_inner);
-        match tracker.take(told) {
+        match tracker.observe(told) {
             Ok((era, believed)) => {
                 if !believed {
                     log::warn!(view = kind.as_str(), told:? = told, era = era; "store era ignored");
