--- a/crates/thornbridge-core/src/gateway/budget.rs
+++ b/crates/thornbridge-core/src/gateway/budget.rs
@@ -90,7 +90,7 @@
     }
 
     /// Number of members that the slack is divided by; `None` while unknown.
-    pub(super) fn sharers(&self) -> Option<usize> {
+    pub(super) fn member_bound(&self) -> Option<usize> {
         match self.sharers {
             Sharers::Unknown => None,
             Sharers::AtMost(members) => Some(members),
@@ -112,7 +112,7 @@
         if share >= 1.0 {
             return share;
         }
-        let members = self.sharers().unwrap_or(1) as f64;
+        let members = self.member_bound().unwrap_or(1) as f64;
         let deviation = (share * (1.0 - share) / members).sqrt();
         let probability = share - DRAW_DEVIATIONS * deviation;
         let hash = xxh3_64_with_seed(&service.0.to_le_bytes(), self.seed);
@@ -127,7 +127,7 @@
     }
 
     /// Counts a request for a service.
-    pub(super) fn request(&mut self, now: Timestamp, service: ServiceKey) {
+    pub(super) fn record_request(&mut self, now: Timestamp, service: ServiceKey) {
         self.budget(service).requests.add(now, 1);
     }
 
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -75,7 +75,7 @@
             return;
         };
         let AttemptTarget { server, connection } = record.target;
-        context.servers.broke(context.now, connection);
+        context.servers.connection_broken(context.now, connection);
         let outcome = match failure {
             ExchangeFailure::NotSent => AttemptOutcome::NotRun,
             ExchangeFailure::MayHaveRun => AttemptOutcome::Broken,
@@ -97,14 +97,17 @@
         connection: ConnectionId,
         took: Duration,
     ) {
-        if let Some(server) = context.servers.opened(context.now, connection, took) {
+        if let Some(server) = context
+            .servers
+            .connection_opened(context.now, connection, took)
+        {
             self.serve_queue(context, server);
         }
     }
 
     /// Dispatches waiting parts on connections whose probation ended.
     pub(in crate::gateway) fn end_connection_probation(&mut self, context: &mut Context<'_>) {
-        for server in context.servers.proved(context.now) {
+        for server in context.servers.end_probation(context.now) {
             self.serve_queue(context, server);
         }
     }
@@ -115,7 +118,7 @@
         context: &mut Context<'_>,
         connection: ConnectionId,
     ) {
-        let Some((server, loss)) = context.servers.lost(context.now, connection) else {
+        let Some((server, loss)) = context.servers.connection_lost(context.now, connection) else {
             return;
         };
         if loss == ConnectionLoss::Unreachable {
@@ -183,7 +186,7 @@
             self.cancellations.remove(&(cancel_at, attempt));
         }
         if let Some(server) = context.servers.get_mut(record.target.server) {
-            server.ended(attempt);
+            server.attempt_ended(attempt);
         }
         Some(record)
     }
@@ -276,14 +279,14 @@
             return;
         };
         if let Some(load) = reply.load {
-            server.loaded(now, load);
+            server.observe_load(now, load);
         }
         let rejected = outcome == AttemptOutcome::NotRun;
         server.rejections.observe(&parameters, now, rejected);
         match outcome {
             AttemptOutcome::Answered => {
                 let work = took.saturating_sub(server.round_trip());
-                let speed = server.speed(&parameters, now);
+                let speed = server.slowdown(&parameters, now);
                 if let Some(mean_work) = mean_work {
                     server.observe_slowdown(&parameters, now, work, mean_work);
                 }
@@ -328,7 +331,7 @@
     ) {
         let parameters = context.servers.parameters.clone();
         if let Some(server) = context.servers.get_mut(key) {
-            server.failed(&parameters, context.now, cost);
+            server.add_failure_cost(&parameters, context.now, cost);
         }
         self.report_avoidance(context, key, cause);
     }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -159,7 +159,7 @@
         let Some(server) = context.servers.get_mut(target.server) else {
             return;
         };
-        server.sent(context.now, attempt, expected);
+        server.attempt_sent(context.now, attempt, expected);
         let instance = server.id.clone();
         let record = Attempt {
             caller: Some(request.caller),
@@ -263,7 +263,7 @@
         let Some(server) = context.servers.get(server) else {
             return work;
         };
-        let speed = server.speed(&context.servers.parameters, context.now);
+        let speed = server.slowdown(&context.servers.parameters, context.now);
         server.round_trip() + work.mul_f64(speed)
     }
 
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -79,7 +79,7 @@
         };
         // Clamped, so that a slow server does not delay its hedge.
         let speed = server
-            .speed(&context.servers.parameters, context.now)
+            .slowdown(&context.servers.parameters, context.now)
             .clamp(0.7, 1.5);
         let expected_latency =
             (server.round_trip() + work.mul_f64(speed)).max(parameters.hedge_minimum);
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -187,7 +187,7 @@
         }
         for part in &request.parts {
             if !part.is_delegated() {
-                context.budget.request(context.now, part.service);
+                context.budget.record_request(context.now, part.service);
             }
         }
         self.schedule.insert((request.check_at, caller));
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -108,7 +108,7 @@
         let parts = services.into_iter().map(|service| match service {
             Some(service) => {
                 if task.prior_attempts == 0 {
-                    context.budget.request(context.now, service);
+                    context.budget.record_request(context.now, service);
                 }
                 let mut part = Part::new(service);
                 part.prior_attempts = task.prior_attempts;
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -40,9 +40,9 @@
 
     /// Sets the number of members that share the budgets; reports a changed number of sharers.
     fn update_budget_sharers(&mut self, members: usize) {
-        let before = self.budget.sharers();
+        let before = self.budget.member_bound();
         self.budget.set_members(members);
-        let sharers = self.budget.sharers();
+        let sharers = self.budget.member_bound();
         if sharers != before {
             let change = GatewayChange::BudgetMembers { sharers };
             self.actions.push_back(GatewayAction::Changed(change));
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -160,7 +160,7 @@
         let views = &parameters.views;
         let own_address = setup.endpoint.address;
         let joins_through_others = !setup.seeds.is_empty() && !setup.seeds.contains(&own_address);
-        let others_named = setup.seeds.iter().any(|seed| *seed != own_address);
+        let has_other_seeds = setup.seeds.iter().any(|seed| *seed != own_address);
         let mut random = Pcg64Mcg::seed_from_u64(setup.seed);
         let first_slice = random.random();
         Self {
@@ -195,7 +195,7 @@
                 setup.placement,
                 setup.endpoint.address,
             ),
-            budget: ExtraAttemptBudget::new(parameters.budget.clone(), others_named, setup.seed),
+            budget: ExtraAttemptBudget::new(parameters.budget.clone(), has_other_seeds, setup.seed),
             exchanges: Exchanges::new(parameters.exchange.clone()),
             quarantine: Quarantine::new(parameters.quarantine.clone()),
             pending: PendingRequests::default(),
--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -388,7 +388,7 @@
 
 impl GatewayParameters {
     /// Derives the part cost of gathers from the share of a processor core that this node has.
-    pub fn fit_processor(&mut self, share: f64) {
+    pub fn set_processor_share(&mut self, share: f64) {
         if share.is_finite() && share > 0.0 {
             self.slices.part_cost = PART_COST_PER_CORE.div_f64(share);
         }
@@ -398,7 +398,12 @@
     ///
     /// `in_force` is the time in which a configuration must be in force; `drain` and `evacuation` are
     /// the times after which leaving servers and servers of evacuated zones must get no requests.
-    pub fn fit(&mut self, in_force: Duration, drain: Duration, evacuation: Option<Duration>) {
+    pub fn apply_operator_bounds(
+        &mut self,
+        in_force: Duration,
+        drain: Duration,
+        evacuation: Option<Duration>,
+    ) {
         let least = in_force.min(drain).min(evacuation.unwrap_or(Duration::MAX));
         self.views.evacuations = evacuation.is_some();
         let limit = least.mul_f64(STALENESS_SHARE);
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -131,22 +131,22 @@
 ) -> BTreeSet<ServiceKey> {
     let routes = configuration.routes.iter();
     let names = routes.flat_map(|route| route.target.services());
-    names.map(|name| servers.service(name)).collect()
+    names.map(|name| servers.service_key(name)).collect()
 }
 
 fn resolve(target: &RouteTarget, servers: &mut Servers) -> ResolvedTarget {
     match target {
-        RouteTarget::Service(service) => ResolvedTarget::Service(servers.service(service)),
+        RouteTarget::Service(service) => ResolvedTarget::Service(servers.service_key(service)),
         RouteTarget::Split(parts) => {
             let parts = parts.iter();
-            let resolved = parts.map(|part| (servers.service(&part.service), part.weight));
+            let resolved = parts.map(|part| (servers.service_key(&part.service), part.weight));
             ResolvedTarget::Split(resolved.collect())
         }
         RouteTarget::Gather(gather) => {
             let shards: Vec<ServiceKey> = gather
                 .shards
                 .iter()
-                .map(|shard| servers.service(shard))
+                .map(|shard| servers.service_key(shard))
                 .collect();
             let least = gather.least_share * shards.len() as f64 - SHARE_TOLERANCE;
             ResolvedTarget::Gather(ResolvedGather {
--- a/crates/thornbridge-core/src/gateway/servers/choosing.rs
+++ b/crates/thornbridge-core/src/gateway/servers/choosing.rs
@@ -89,12 +89,12 @@
 
     fn cost(&self, now: Timestamp, server: &Server, work: Duration, silent: bool) -> Duration {
         let parameters = &self.parameters;
-        let speed = server.speed(parameters, now);
+        let slowdown = server.slowdown(parameters, now);
         let limit = self.services[server.service.0 as usize].own_connections;
         // The node's connection limit may be lower than the server's slots.
         let concurrency = server.slots.min(limit.max(1));
         let queue = server.queue_length(now, concurrency) / f64::from(concurrency);
-        let mut cost = server.round_trip() + work.mul_f64(speed * (1.0 + queue));
+        let mut cost = server.round_trip() + work.mul_f64(slowdown * (1.0 + queue));
         cost += match server.distance {
             Distance::SameZone => Duration::ZERO,
             Distance::SameRegion => parameters.other_zone_cost,
--- a/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -40,7 +40,7 @@
 
 impl Servers {
     /// Records that a connection opened; returns its server if the connection is usable at once.
-    pub(in crate::gateway) fn opened(
+    pub(in crate::gateway) fn connection_opened(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -67,7 +67,7 @@
     }
 
     /// Makes connections available whose probation is over; returns their servers.
-    pub(in crate::gateway) fn proved(&mut self, now: Timestamp) -> Vec<ServerKey> {
+    pub(in crate::gateway) fn end_probation(&mut self, now: Timestamp) -> Vec<ServerKey> {
         let mut servers = Vec::new();
         while let Some(connection) = self.scarcity.pop_ended_probation(now) {
             let Some(entry) = self.connections.get_mut(&connection) else {
@@ -97,7 +97,7 @@
 
     /// Records a connection that was lost without an attempt; returns its server and the
     /// classification of the loss.
-    pub(in crate::gateway) fn lost(
+    pub(in crate::gateway) fn connection_lost(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
@@ -110,7 +110,7 @@
         let parameters = &self.parameters;
         let server = self.servers.get_mut(&entry.server)?;
         if loss == ConnectionLoss::Unreachable {
-            server.failed(parameters, now, parameters.unreachable_cost);
+            server.add_failure_cost(parameters, now, parameters.unreachable_cost);
         }
         if !entry.used && entry.opened_at.is_some() {
             server.preconnect = false;
@@ -126,7 +126,11 @@
     }
 
     /// Records a connection that broke while it carried an attempt.
-    pub(in crate::gateway) fn broke(&mut self, now: Timestamp, connection: ConnectionId) {
+    pub(in crate::gateway) fn connection_broken(
+        &mut self,
+        now: Timestamp,
+        connection: ConnectionId,
+    ) {
         let known = self.connections.get(&connection);
         if known.is_some_and(|entry| entry.loss(now) == ConnectionLoss::Refused) {
             self.scarcity.refused(now);
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// Key of a service, which is added if it is new.
-    pub(super) fn service(&mut self, name: &ServiceName) -> ServiceKey {
+    pub(super) fn service_key(&mut self, name: &ServiceName) -> ServiceKey {
         if let Some(key) = self.service_names.get(name) {
             return *key;
         }
@@ -148,7 +148,7 @@
     /// Applies the connection limits of a configuration, and the services to keep warm.
     pub(super) fn configure(&mut self, services: &[RoutedService], warm: BTreeSet<ServiceKey>) {
         for service in services {
-            let key = self.service(&service.name);
+            let key = self.service_key(&service.name);
             let entry = &mut self.services[key.0 as usize];
             if entry.connections != Some(service.connections) {
                 entry.connections = Some(service.connections);
--- a/crates/thornbridge-core/src/gateway/servers/registering.rs
+++ b/crates/thornbridge-core/src/gateway/servers/registering.rs
@@ -11,7 +11,7 @@
 
 impl Servers {
     /// Applies a new or changed registry entry.
-    pub(in crate::gateway) fn present(
+    pub(in crate::gateway) fn upsert_instance(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
@@ -77,7 +77,7 @@
     /// Applies the removal of a registry entry.
     ///
     /// `confirmed` is when the store last confirmed this node's views, which still held the entry.
-    pub(in crate::gateway) fn departed(
+    pub(in crate::gateway) fn remove_instance(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
@@ -115,7 +115,7 @@
     }
 
     fn add(&mut self, now: Timestamp, instance: &Instance) -> ServerKey {
-        let service = self.service(&instance.service);
+        let service = self.service_key(&instance.service);
         let key = ServerKey(self.next_key);
         self.next_key += 1;
         let distance = self.placement.distance_to(&instance.zone);
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -14,9 +14,9 @@
 
 /// Largest change of the logarithm of a slowdown by one observation. One slow answer may be a pause;
 /// two in a row indicate a slow server.
-const SPEED_STEP: f64 = 0.7;
+const SLOWDOWN_STEP: f64 = 0.7;
 /// Range to which observed slowdowns are clamped.
-const SPEED_RANGE: (f64, f64) = (0.2, 8.0);
+const SLOWDOWN_RANGE: (f64, f64) = (0.2, 8.0);
 /// Slowdown added for a server that has just started.
 const COLD_START_SLOWDOWN: f64 = 0.5;
 /// Age at which a load report is disregarded; its weight decreases linearly until then.
@@ -227,7 +227,11 @@
     }
 
     /// Expected ratio of the server's processing time to the usual one; 2.0 is twice as slow.
-    pub(in crate::gateway) fn speed(&self, parameters: &ServerParameters, now: Timestamp) -> f64 {
+    pub(in crate::gateway) fn slowdown(
+        &self,
+        parameters: &ServerParameters,
+        now: Timestamp,
+    ) -> f64 {
         let (speed, at) = self.speed;
         let decayed = speed * decay_factor(now.since(at), parameters.speed_half_life);
         let cold = if now < self.cold_until {
@@ -250,19 +254,19 @@
             return;
         }
         let ratio = work.as_secs_f64() / usual.as_secs_f64();
-        let observed = ratio.clamp(SPEED_RANGE.0, SPEED_RANGE.1).ln();
+        let observed = ratio.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1).ln();
         let (speed, at) = self.speed;
         let age = now.since(at);
         let decayed = speed * decay_factor(age, parameters.speed_half_life);
         // The weight of an observation grows with the time since the previous one.
         let intervals = age.as_secs_f64() / parameters.speed_interval.as_secs_f64();
         let weight = 1.0 - (1.0 - parameters.speed_weight).powf(intervals.max(1.0));
-        let step = ((observed - decayed) * weight).clamp(-SPEED_STEP, SPEED_STEP);
+        let step = ((observed - decayed) * weight).clamp(-SLOWDOWN_STEP, SLOWDOWN_STEP);
         self.speed = (decayed + step, now);
     }
 
     /// Adds a failure cost.
-    pub(in crate::gateway) fn failed(
+    pub(in crate::gateway) fn add_failure_cost(
         &mut self,
         parameters: &ServerParameters,
         now: Timestamp,
@@ -297,7 +301,7 @@
     }
 
     /// Records an attempt that was sent to the server.
-    pub(in crate::gateway) fn sent(
+    pub(in crate::gateway) fn attempt_sent(
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
@@ -311,12 +315,12 @@
     }
 
     /// Records the end of an attempt.
-    pub(in crate::gateway) fn ended(&mut self, attempt: AttemptId) {
+    pub(in crate::gateway) fn attempt_ended(&mut self, attempt: AttemptId) {
         self.outstanding.retain(|other| other.attempt != attempt);
     }
 
     /// Records a load report of the server.
-    pub(in crate::gateway) fn loaded(&mut self, now: Timestamp, load: ServerLoad) {
+    pub(in crate::gateway) fn observe_load(&mut self, now: Timestamp, load: ServerLoad) {
         self.load = Some((load, now));
     }
 
--- a/crates/thornbridge-core/src/gateway/tests/budgets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/budgets.rs
@@ -93,7 +93,7 @@
                 Step::Requests(index, count) => {
                     let (budget, started) = &mut members[index];
                     for _ in 0..count {
-                        budget.request(Timestamp::from_epoch(now.since(*started)), SERVICE);
+                        budget.record_request(Timestamp::from_epoch(now.since(*started)), SERVICE);
                         requests.push(now);
                     }
                 }
@@ -130,7 +130,7 @@
     let now = Timestamp::from_epoch(early);
     assert!(!budget.allows(now, SERVICE));
     for _ in 0..100 {
-        budget.request(now, SERVICE);
+        budget.record_request(now, SERVICE);
     }
     assert_eq!(take_all(&mut budget, early), 3);
     assert!(take_all(&mut budget, WINDOW.mul_f64(1.06)) > 20);
@@ -170,7 +170,7 @@
     for budget in &mut budgets {
         for at in 20..30 {
             let now = Timestamp::from_epoch(second * at);
-            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
+            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.record_request(now, SERVICE));
         }
         spent_before += take_all(budget, ends);
     }
@@ -180,7 +180,7 @@
         for at in 0..9 {
             let at = second * at;
             let now = Timestamp::from_epoch(at);
-            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.request(now, SERVICE));
+            (0..REQUESTS_PER_SECOND / MEMBERS).for_each(|_| budget.record_request(now, SERVICE));
             spent_after += take_all(budget, at);
         }
     }
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/speeds.rs
@@ -37,14 +37,14 @@
         let mut actions = VecDeque::new();
         let now = Timestamp::ZERO;
         let origin = ViewOrigin::Store;
-        servers.present(
+        servers.upsert_instance(
             now,
             &mut actions,
             &instance,
             StoreRevision::without_era(1),
             origin,
         );
-        let service = servers.service(&ServiceName::new("s"));
+        let service = servers.service_key(&ServiceName::new("s"));
         let mut random = Pcg64Mcg::seed_from_u64(1);
         let choice = servers.choose(now, &mut random, service, WORK, &[]);
         let key = choice.unwrap().server;
@@ -60,7 +60,7 @@
 
     fn speed(&self) -> f64 {
         let server = self.servers.get(self.key).unwrap();
-        server.speed(&self.servers.parameters, self.now)
+        server.slowdown(&self.servers.parameters, self.now)
     }
 }
 
--- a/crates/thornbridge-core/src/gateway/tests/subsets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/subsets.rs
@@ -63,7 +63,7 @@
             .collect();
         let mut warm = BTreeSet::new();
         for service in &services {
-            warm.insert(node.servers.service(&service.name));
+            warm.insert(node.servers.service_key(&service.name));
         }
         node.servers.configure(&services, warm);
         for shard in 0..shards {
@@ -80,7 +80,7 @@
         let mut instance = instance(&id, &service, InstanceState::Ready);
         instance.address = server_address(shard, replica);
         instance.zone = zone(replica);
-        self.servers.present(
+        self.servers.upsert_instance(
             Timestamp::ZERO,
             &mut self.actions,
             &instance,
@@ -206,7 +206,7 @@
         InstanceState::Draining,
     );
     instance.address = server_address(0, draining);
-    node.servers.present(
+    node.servers.upsert_instance(
         after(6_000),
         &mut node.actions,
         &instance,
@@ -238,11 +238,11 @@
     }
     for connection in &opened {
         node.servers
-            .opened(after(5_001), *connection, Duration::from_millis(1));
+            .connection_opened(after(5_001), *connection, Duration::from_millis(1));
     }
     // The servers close idle connections.
     for connection in &opened {
-        node.servers.lost(after(15_000), *connection);
+        node.servers.connection_lost(after(15_000), *connection);
     }
     node.actions.clear();
     node.servers.keep_warm(after(17_000), &mut node.actions);
@@ -260,11 +260,12 @@
     for (connection, address) in opened {
         let near = address == server_address(0, 0);
         let took = Duration::from_millis(if near { 1 } else { 10 });
-        node.servers.opened(after(5_010), connection, took);
+        node.servers
+            .connection_opened(after(5_010), connection, took);
     }
     let now = after(5_100);
     let work = Duration::from_millis(20);
-    let service = node.servers.service(&ServiceName::new("shard-0"));
+    let service = node.servers.service_key(&ServiceName::new("shard-0"));
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let near = node.servers.choose(now, &mut random, service, work, &[]);
     let near = near.unwrap().server;
@@ -273,7 +274,7 @@
         .acquire_connection(now, &mut node.actions, near);
     assert!(matches!(connection, AcquireOutcome::Idle(_)));
     let server = node.servers.get_mut(near).unwrap();
-    server.sent(now, AttemptId(1), work);
+    server.attempt_sent(now, AttemptId(1), work);
     let next = node.servers.choose(now, &mut random, service, work, &[]);
     assert_ne!(next.unwrap().server, near);
 }
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -260,7 +260,7 @@
     /// attempts is large.
     pub fn shares_gathers(&mut self, processor_share: f64, peers: u8) {
         let mut parameters = GatewayParameters::default();
-        parameters.fit_processor(processor_share);
+        parameters.set_processor_share(processor_share);
         parameters.budget.ratio = 0.5;
         parameters.budget.slack = 1_000.0;
         parameters.budget.settling_windows = 0.0;
--- a/crates/thornbridge-core/src/gateway/view_updates.rs
+++ b/crates/thornbridge-core/src/gateway/view_updates.rs
@@ -289,12 +289,17 @@
         for change in changes {
             match change {
                 RegistryChange::Upserted(revision, instance) => {
-                    self.servers
-                        .present(self.now, &mut self.actions, &instance, revision, origin);
+                    self.servers.upsert_instance(
+                        self.now,
+                        &mut self.actions,
+                        &instance,
+                        revision,
+                        origin,
+                    );
                 }
                 RegistryChange::Removed(revision, id) => {
                     let confirmed_at = self.freshness.confirmed_at();
-                    self.servers.departed(
+                    self.servers.remove_instance(
                         self.now,
                         &mut self.actions,
                         &id,
--- a/crates/thornbridge-rehearsal/src/gateway/scenario.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/scenario.rs
@@ -147,7 +147,7 @@
         scenario.length = Duration::from_secs(12);
         scenario.budget.1 = 200.0;
         scenario.parameters.budget.slack = 200.0;
-        scenario.parameters.fit_processor(0.05);
+        scenario.parameters.set_processor_share(0.05);
         scenario
     }
 
@@ -160,7 +160,7 @@
         scenario.loads[0].rate = 12.0;
         scenario.loads[1].rate = 5.0;
         scenario.processor_share = Some(share);
-        scenario.parameters.fit_processor(share);
+        scenario.parameters.set_processor_share(share);
         scenario
     }
 
@@ -176,7 +176,7 @@
         scenario.plain_servers = 24;
         scenario.loads.clear();
         scenario.length = Duration::from_secs(6);
-        scenario.parameters.fit_processor(0.12);
+        scenario.parameters.set_processor_share(0.12);
         let replace = GatewayFault::Replace {
             server: 0,
             silent: false,
