--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -175,7 +175,7 @@
         reason: RefusalReason,
         retry_after: Duration,
     ) {
-        let note = RequestSummary::unstarted(
+        let summary = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             route.route.name.clone(),
@@ -188,8 +188,8 @@
             RefusalReason::Overloaded | RefusalReason::CrashesServers => CallerTry::Unknown,
             _ => CallerTry::First,
         };
-        let note = note.with_retry(caller_try, retry_after);
-        context.actions.push_back(GatewayAction::Finished(note));
+        let summary = summary.with_retry(caller_try, retry_after);
+        context.actions.push_back(GatewayAction::Finished(summary));
         let status = RefusalStatus::NotRun;
         let answer = GatewayAnswer::Refused {
             reason,
@@ -210,9 +210,9 @@
         retry_after: Option<Duration>,
     ) {
         let progress = request.progress();
-        let mut notable = request.notes.clone();
+        let mut notable = request.attempt_summaries.clone();
         self.add_unfinished_attempts(context, request, &mut notable);
-        let note = RequestSummary {
+        let summary = RequestSummary {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
             route: request.route.route.name.clone(),
@@ -229,9 +229,9 @@
             caller_try: request.caller_try,
             retry_after,
             coordinator: request.coordinator(),
-            slices: request.slice_notes(),
+            slices: request.slice_summaries(),
         };
-        context.actions.push_back(GatewayAction::Finished(note));
+        context.actions.push_back(GatewayAction::Finished(summary));
     }
 
     fn add_unfinished_attempts(
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -382,7 +382,7 @@
     let Some(server) = context.servers.get(record.target.server) else {
         return;
     };
-    request.notes.push(AttemptSummary {
+    request.attempt_summaries.push(AttemptSummary {
         server: server.id.clone(),
         sent_after: record.sent.since(request.arrived),
         cause: record.cause,
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -145,8 +145,8 @@
             self.refuse_unstarted(context, caller, &head, &route, reason, retry_after);
             return;
         }
-        let caution = context.quarantine.caution(context.now, head.fingerprint);
-        if !caution.allows_new_attempts() {
+        let policy = context.quarantine.caution(context.now, head.fingerprint);
+        if !policy.allows_new_attempts() {
             self.refuse_crashing(context, caller, &head, &route);
             return;
         }
@@ -162,7 +162,7 @@
         let plan = context
             .slices
             .plan(context.now, route.key)
-            .filter(|_| !context.messages_may_be_stale && caution == SendPolicy::Unrestricted);
+            .filter(|_| !context.messages_may_be_stale && policy == SendPolicy::Unrestricted);
         let plan = plan.filter(|plan| plan.covers(services.len()));
         let parts = services.into_iter().map(Part::new).collect();
         let mut request = Request {
@@ -177,7 +177,7 @@
             route,
             parts,
             check_at: deadlines.deadline,
-            notes: Vec::new(),
+            attempt_summaries: Vec::new(),
             budget_denials: 0,
             origin: Origin::Caller,
             slices: Vec::new(),
@@ -228,11 +228,11 @@
             return;
         };
         self.schedule.remove(&(request.check_at, caller));
-        let caution = context.quarantine.caution(context.now, request.fingerprint);
-        if caution == SendPolicy::Unrestricted {
+        let policy = context.quarantine.caution(context.now, request.fingerprint);
+        if policy == SendPolicy::Unrestricted {
             self.advance_slices(context, &mut request);
         }
-        if request.should_give_up(caution) {
+        if request.should_give_up(policy) {
             self.give_up(context, request);
             return;
         }
@@ -248,7 +248,7 @@
             self.finish(context, request, answer);
             return;
         }
-        request.check_at = request.next_check_under(caution, context.now);
+        request.check_at = request.next_check_under(policy, context.now);
         self.schedule.insert((request.check_at, caller));
         self.requests.insert(caller, request);
     }
--- a/crates/thornbridge-core/src/gateway/exchange/request.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/request.rs
@@ -39,7 +39,7 @@
     pub(super) max_attempts: u32,
     /// Time of the next check in the schedule.
     pub(super) check_at: Timestamp,
-    pub(super) notes: Vec<AttemptSummary>,
+    pub(super) attempt_summaries: Vec<AttemptSummary>,
     pub(super) budget_denials: usize,
     pub(super) origin: Origin,
     /// Slices delegated to other nodes.
@@ -127,9 +127,11 @@
     }
 
     /// Delegations of the request, for the log.
-    pub(super) fn slice_notes(&self) -> Vec<SliceSummary> {
+    pub(super) fn slice_summaries(&self) -> Vec<SliceSummary> {
         let slices = self.slices.iter();
-        slices.flat_map(|slice| slice.notes(self.arrived)).collect()
+        slices
+            .flat_map(|slice| slice.summaries(self.arrived))
+            .collect()
     }
 
     /// Whether the coordinator may still grant further attempts.
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -31,8 +31,8 @@
     }
 
     /// When to check the request next, unless an attempt ends first.
-    pub(super) fn next_check_under(&self, caution: SendPolicy, now: Timestamp) -> Timestamp {
-        let check_at = match caution {
+    pub(super) fn next_check_under(&self, policy: SendPolicy, now: Timestamp) -> Timestamp {
+        let check_at = match policy {
             SendPolicy::Unrestricted => self.next_check(now),
             _ => (now + SUSPECT_CHECK_INTERVAL).min(self.deadline),
         };
@@ -40,8 +40,8 @@
     }
 
     /// Whether the request is to be given up.
-    pub(super) fn should_give_up(&self, caution: SendPolicy) -> bool {
-        match caution {
+    pub(super) fn should_give_up(&self, policy: SendPolicy) -> bool {
+        match policy {
             SendPolicy::Unrestricted | SendPolicy::OneAtATime => false,
             SendPolicy::AwaitInFlight => !self.has_attempt_in_flight(),
             SendPolicy::Refuse => true,
@@ -83,8 +83,8 @@
         route: &ResolvedRoute,
     ) {
         let reason = RefusalReason::CrashesServers;
-        let lasts = context.quarantine.lasts(context.now, head.fingerprint);
-        self.refuse_unstarted(context, caller, head, route, reason, lasts);
+        let remaining = context.quarantine.lasts(context.now, head.fingerprint);
+        self.refuse_unstarted(context, caller, head, route, reason, remaining);
     }
 
     /// Reports a broken attempt as a crash that its request may have caused.
@@ -107,8 +107,8 @@
             .quarantine
             .given_up(context.now, request.fingerprint);
         if matches!(request.origin, Origin::Caller) {
-            let lasts = context.quarantine.lasts(context.now, request.fingerprint);
-            let answer = crash_refusal(&request, lasts);
+            let remaining = context.quarantine.lasts(context.now, request.fingerprint);
+            let answer = crash_refusal(&request, remaining);
             self.finish(context, request, answer);
             return;
         }
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -146,7 +146,7 @@
     }
 
     /// Delegations, for the log.
-    pub(super) fn notes(&self, arrived: Timestamp) -> impl Iterator<Item = SliceSummary> {
+    pub(super) fn summaries(&self, arrived: Timestamp) -> impl Iterator<Item = SliceSummary> {
         let delegations = self.delegations.iter();
         delegations.map(move |delegation| SliceSummary {
             owner: delegation.owner,
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -94,8 +94,8 @@
         }
         let overloaded = self.requests.len() >= self.parameters.requests_maximum;
         let unknown = services.iter().all(Option::is_none);
-        let caution = context.quarantine.caution(context.now, task.fingerprint);
-        if !caution.allows_new_attempts() {
+        let policy = context.quarantine.caution(context.now, task.fingerprint);
+        if !policy.allows_new_attempts() {
             self.refuse_crashing_slice(context, coordinator, &task);
             return;
         }
@@ -129,7 +129,7 @@
             soft_deadline: from_now(task.report_in_us),
             deadline,
             check_at: deadline,
-            notes: Vec::new(),
+            attempt_summaries: Vec::new(),
             budget_denials: 0,
             slices: Vec::new(),
             origin: Origin::Coordinator(Coordinator {
