--- a/crates/thornbridge-core/src/gateway/action.rs
+++ b/crates/thornbridge-core/src/gateway/action.rs
@@ -147,7 +147,7 @@
         /// Instance expected at the address.
         instance: BackEndId,
         /// Remaining time that the caller waits.
-        patience: Duration,
+        caller_timeout: Duration,
     },
     /// Answer a caller and drop its request.
     Answer {
--- a/crates/thornbridge-core/src/gateway/caller_try.rs
+++ b/crates/thornbridge-core/src/gateway/caller_try.rs
@@ -40,64 +40,64 @@
 
 /// Timeouts stated by the callers of one kind of request.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StatedPatience {
+pub(super) struct ObservedTimeouts {
     longest: Duration,
     /// Number of requests that stated the longest timeout.
     longest_count: u32,
 }
 
-impl StatedPatience {
+impl ObservedTimeouts {
     /// Records the timeout stated by a request.
-    pub(super) fn observe(&mut self, patience: Duration) {
-        if patience > self.longest + TOLERANCE {
-            self.longest = patience;
+    pub(super) fn observe(&mut self, timeout: Duration) {
+        if timeout > self.longest + TOLERANCE {
+            self.longest = timeout;
             self.longest_count = 0;
         }
-        if self.is_longest(patience) {
+        if self.is_longest(timeout) {
             self.longest_count = self.longest_count.saturating_add(1);
         }
     }
 
     /// Time taken by earlier attempts of a caller with this remaining timeout.
-    pub(super) fn spent(&self, patience: Duration) -> Duration {
-        self.longest.saturating_sub(patience)
+    pub(super) fn elapsed(&self, timeout: Duration) -> Duration {
+        self.longest.saturating_sub(timeout)
     }
 
     /// Classifies a request by its stated timeout.
-    pub(super) fn judge(&self, patience: Duration) -> CallerTry {
-        match self.is_longest(patience) {
+    pub(super) fn classify(&self, timeout: Duration) -> CallerTry {
+        match self.is_longest(timeout) {
             true if self.longest_count >= CONFIRMATIONS => CallerTry::First,
             true => CallerTry::Unknown,
             false => CallerTry::Retry,
         }
     }
 
-    fn is_longest(&self, patience: Duration) -> bool {
-        patience + TOLERANCE >= self.longest
+    fn is_longest(&self, timeout: Duration) -> bool {
+        timeout + TOLERANCE >= self.longest
     }
 }
 
 /// Stated timeouts per kind of request, used while no configuration is active. A kind is a host and
 /// the first path segment, which approximates a route.
 #[derive(Debug, Default)]
-pub(super) struct PatienceByKind {
-    kinds: BTreeMap<(String, String), StatedPatience>,
+pub(super) struct TimeoutsByRequestKind {
+    kinds: BTreeMap<(String, String), ObservedTimeouts>,
 }
 
-impl PatienceByKind {
+impl TimeoutsByRequestKind {
     /// Records the timeout stated by a request.
-    pub(super) fn observe(&mut self, head: &RequestHead, patience: Duration) {
+    pub(super) fn observe(&mut self, head: &RequestHead, timeout: Duration) {
         let kind = kind_of(head);
         if self.kinds.len() >= KINDS_MAXIMUM && !self.kinds.contains_key(&kind) {
             return;
         }
-        self.kinds.entry(kind).or_default().observe(patience);
+        self.kinds.entry(kind).or_default().observe(timeout);
     }
 
     /// Classifies a request by its stated timeout.
-    pub(super) fn judge(&self, head: &RequestHead, patience: Duration) -> CallerTry {
+    pub(super) fn classify(&self, head: &RequestHead, timeout: Duration) -> CallerTry {
         let known = self.kinds.get(&kind_of(head));
-        known.map_or(CallerTry::Unknown, |stated| stated.judge(patience))
+        known.map_or(CallerTry::Unknown, |timeouts| timeouts.classify(timeout))
     }
 }
 
--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -26,7 +26,7 @@
     /// Path without the query string.
     pub path: String,
     /// Remaining time that the caller waits, if stated.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Whether this is the first request of its connection; opening one costs the caller a round trip.
     pub first_on_connection: bool,
 }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -186,7 +186,7 @@
             attempt,
             caller: request.caller,
             instance,
-            patience: request.deadline.since(context.now),
+            caller_timeout: request.deadline.since(context.now),
         });
     }
 
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -154,7 +154,7 @@
         let services = choose_services(context, &route);
         if let Some(reason) = unservable_reason(context, &route, &services, deadlines.caller_try) {
             let share = self.parameters.retry_after_share;
-            let retry_after = deadlines.patience.mul_f64(share).max(retry_after);
+            let retry_after = deadlines.caller_timeout.mul_f64(share).max(retry_after);
             self.refuse_unstarted(context, caller, &head, &route, reason, retry_after);
             return;
         }
@@ -292,11 +292,11 @@
         arrived: Timestamp,
     ) -> Deadlines {
         let parameters = &self.parameters;
-        let patience = head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = head.caller_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let statistics = context.routes.statistics(route.key);
-        statistics.patience.observe(patience);
-        let spent = statistics.patience.spent(patience);
-        let caller_try = statistics.patience.judge(patience);
+        statistics.caller_timeouts.observe(caller_timeout);
+        let spent = statistics.caller_timeouts.elapsed(caller_timeout);
+        let caller_try = statistics.caller_timeouts.classify(caller_timeout);
         let round_trip = match head.first_on_connection {
             true => parameters.caller_delay * 4,
             false => parameters.caller_delay * 2,
@@ -307,11 +307,11 @@
         let delay = (self.answer_delay.reserve() * ANSWER_DELAY_FACTOR).min(reserve);
         let margin = parameters.answer_margin + delay;
         let soft_deadline_in = objective.saturating_sub(round_trip + margin + spent);
-        let deadline_in = patience
+        let deadline_in = caller_timeout
             .saturating_sub(parameters.caller_delay * 2)
             .min(route.route.time_limit);
         Deadlines {
-            patience,
+            caller_timeout,
             caller_try,
             soft_deadline: arrived + soft_deadline_in,
             deadline: arrived + deadline_in,
@@ -320,7 +320,7 @@
 }
 
 struct Deadlines {
-    patience: Duration,
+    caller_timeout: Duration,
     caller_try: CallerTry,
     soft_deadline: Timestamp,
     deadline: Timestamp,
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -198,7 +198,10 @@
             ..
         } = request;
         let waited = self.now.since(arrived);
-        let remaining = head.patience.unwrap_or_default().saturating_sub(waited);
+        let remaining = head
+            .caller_timeout
+            .unwrap_or_default()
+            .saturating_sub(waited);
         let share = self.parameters.exchange.retry_after_share;
         let retry_after = remaining
             .mul_f64(share)
--- a/crates/thornbridge-core/src/gateway/pending.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -5,7 +5,7 @@
 //! otherwise after a share of the caller timeout. A caller's retry is kept until its timeout ends,
 //! because the caller will not retry again.
 
-use super::caller_try::{CallerTry, PatienceByKind};
+use super::caller_try::{CallerTry, TimeoutsByRequestKind};
 use super::event::RequestHead;
 use crate::driver_action::CallerId;
 use crate::time::Timestamp;
@@ -30,7 +30,7 @@
 
 impl PendingRequest {
     fn caller_timeout(&self) -> Duration {
-        self.head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT)
+        self.head.caller_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT)
     }
 
     /// When the request cannot be served any more.
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<CallerId, PendingRequest>,
-    timeouts: PatienceByKind,
+    timeouts: TimeoutsByRequestKind,
 }
 
 impl PendingRequests {
@@ -57,7 +57,7 @@
         head: RequestHead,
         share: f64,
     ) -> Option<PendingRequest> {
-        let caller_timeout = head.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = head.caller_timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         self.timeouts.observe(&head, caller_timeout);
         let request = PendingRequest {
             caller,
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -1,7 +1,7 @@
 //! Route table of the active configuration, with services resolved to keys.
 
 use super::budget::ServiceKey;
-use super::caller_try::StatedPatience;
+use super::caller_try::ObservedTimeouts;
 use super::servers::Servers;
 use super::work::WorkEstimate;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
     /// Current weights of a split's parts, for smooth weighted round robin.
     pub(super) current_weights: Vec<f64>,
     /// Timeouts stated by callers.
-    pub(super) patience: StatedPatience,
+    pub(super) caller_timeouts: ObservedTimeouts,
 }
 
 /// Routes of the active configuration.
--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -152,7 +152,7 @@
     let mut harness = gather_over_three_shards(0.9);
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
-    assert!(sent.iter().all(|sent| sent.patience <= millis(1_000)));
+    assert!(sent.iter().all(|sent| sent.caller_timeout <= millis(1_000)));
     let longer = harness.ask("/x");
     harness.wait(millis(400));
     let later = harness.sent_for(longer);
@@ -160,7 +160,7 @@
         later
             .iter()
             .skip(3)
-            .all(|sent| sent.patience <= millis(620))
+            .all(|sent| sent.caller_timeout <= millis(620))
     );
 }
 
--- a/crates/thornbridge-core/src/gateway/tests/grants.rs
+++ b/crates/thornbridge-core/src/gateway/tests/grants.rs
@@ -107,7 +107,7 @@
 }
 
 /// Gather that cannot be answered without a slice whose two owners are silent.
-fn slice_with_two_silent_owners(patience: Duration) -> (Harness, CallerId) {
+fn slice_with_two_silent_owners(caller_timeout: Duration) -> (Harness, CallerId) {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     // Lets the route learn the caller timeout of first tries.
     for _ in 0..20 {
@@ -115,7 +115,7 @@
         let tasks = std::mem::take(&mut harness.tasks);
         report_all(&mut harness, &tasks);
     }
-    let caller = harness.ask_with("/search/2", patience);
+    let caller = harness.ask_with("/search/2", caller_timeout);
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     harness.wait(SILENCE_TIMEOUT * 2);
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -99,7 +99,11 @@
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 2);
     // The route's time limit of 1 s counts from arrival too.
-    assert!(sent[0].patience <= millis(800), "{:?}", sent[0].patience);
+    assert!(
+        sent[0].caller_timeout <= millis(800),
+        "{:?}",
+        sent[0].caller_timeout
+    );
 }
 
 fn serving_one_of_two_shards() -> Harness {
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -35,7 +35,7 @@
     pub connection: ConnectionId,
     pub caller: CallerId,
     pub instance: String,
-    pub patience: Duration,
+    pub caller_timeout: Duration,
 }
 
 /// Gateway under test. Connections open at once; other actions are recorded.
@@ -230,13 +230,13 @@
                 connection,
                 caller,
                 instance,
-                patience,
+                caller_timeout,
             } => self.sent.push(SentAttempt {
                 attempt,
                 connection,
                 caller,
                 instance: instance.as_str().to_owned(),
-                patience,
+                caller_timeout,
             }),
             GatewayAction::Answer { caller, answer } => {
                 let before = self.answers.insert(caller, answer);
@@ -378,8 +378,8 @@
         self.ask_with(path, millis(2_000))
     }
 
-    /// Sends a request whose caller waits for `patience`.
-    pub fn ask_with(&mut self, path: &str, patience: Duration) -> CallerId {
+    /// Sends a request whose caller waits for `caller_timeout`.
+    pub fn ask_with(&mut self, path: &str, caller_timeout: Duration) -> CallerId {
         self.next_caller += 1;
         let caller = CallerId(self.next_caller);
         let head = RequestHead {
@@ -387,7 +387,7 @@
             fingerprint: Fingerprint(u128::from(self.next_caller)),
             host: "host".to_owned(),
             path: path.to_owned(),
-            patience: Some(patience),
+            caller_timeout: Some(caller_timeout),
             first_on_connection: false,
         };
         self.event(GatewayEvent::Request { caller, head });
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -268,8 +268,10 @@
             .get(name)
             .and_then(|value: &HeaderValue| value.to_str().ok())
     };
-    let patience = text(&names.patience).and_then(|value| value.trim().parse::<f64>().ok());
-    let patience = patience.filter(|patience| patience.is_finite() && *patience >= 0.0);
+    let caller_timeout =
+        text(&names.caller_timeout).and_then(|value| value.trim().parse::<f64>().ok());
+    let caller_timeout = caller_timeout
+        .filter(|caller_timeout| caller_timeout.is_finite() && *caller_timeout >= 0.0);
     let host = host_of(text(&HOST).unwrap_or_default());
     let target = parts.uri.path_and_query();
     let credentials = parts.headers.get(AUTHORIZATION);
@@ -285,7 +287,7 @@
         fingerprint,
         host,
         path: parts.uri.path().to_owned(),
-        patience: patience.map(|millis| Duration::from_secs_f64(millis / 1_000.0)),
+        caller_timeout: caller_timeout.map(|millis| Duration::from_secs_f64(millis / 1_000.0)),
         first_on_connection,
     }
 }
--- a/crates/thornbridge-node/src/gateway/callers/tests.rs
+++ b/crates/thornbridge-node/src/gateway/callers/tests.rs
@@ -15,7 +15,7 @@
 fn names() -> WireNames {
     WireNames {
         request_id: HeaderName::from_static("x-id"),
-        patience: HeaderName::from_static("x-patience"),
+        caller_timeout: HeaderName::from_static("x-patience"),
         expected_instance: HeaderName::from_static("x-expected"),
         signature: HeaderName::from_static("x-signature"),
         load: HeaderName::from_static("x-load"),
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -296,8 +296,8 @@
                 attempt,
                 caller,
                 instance,
-                patience,
-            } => self.send(connection, attempt, caller, &instance, patience),
+                caller_timeout,
+            } => self.send(connection, attempt, caller, &instance, caller_timeout),
             GatewayAction::Answer { caller, answer } => {
                 let waiting = self.waiting.remove(&caller);
                 if let Some(reply) = waiting.and_then(|waiting| waiting.reply) {
@@ -396,9 +396,9 @@
         attempt: AttemptId,
         caller: CallerId,
         instance: &BackEndId,
-        patience: Duration,
+        caller_timeout: Duration,
     ) {
-        let job = self.job(attempt, caller, instance, patience);
+        let job = self.job(attempt, caller, instance, caller_timeout);
         let open = self.connections.get(&connection);
         let sent = match (job, open) {
             (Some(job), Some(open)) => open.jobs.send(job).is_ok(),
@@ -420,7 +420,7 @@
         attempt: AttemptId,
         caller: CallerId,
         instance: &BackEndId,
-        patience: Duration,
+        caller_timeout: Duration,
     ) -> Option<Job> {
         let waiting = self.waiting.get(&caller)?;
         let mut request = Request::new(Full::new(waiting.body.clone()));
@@ -430,7 +430,10 @@
         let mut headers = waiting.parts.headers.clone();
         let names = &self.names;
         let id = headers.get(&names.request_id)?.clone();
-        headers.insert(&names.patience, number(patience.as_millis() as u64));
+        headers.insert(
+            &names.caller_timeout,
+            number(caller_timeout.as_millis() as u64),
+        );
         let instance = HeaderValue::from_str(instance.as_str()).ok()?;
         headers.insert(&names.expected_instance, instance);
         if waiting.sent_length || !waiting.body.is_empty() {
--- a/crates/thornbridge-node/src/gateway/headers.rs
+++ b/crates/thornbridge-node/src/gateway/headers.rs
@@ -11,7 +11,7 @@
     /// Identity of a caller's request.
     pub request_id: HeaderName,
     /// Milliseconds that the caller waits.
-    pub patience: HeaderName,
+    pub caller_timeout: HeaderName,
     /// Instance that is expected to answer.
     pub expected_instance: HeaderName,
     /// Signature of a server.
--- a/crates/thornbridge-rehearsal/src/gateway/scenario.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/scenario.rs
@@ -22,7 +22,7 @@
     /// Mean work at a server.
     pub work: Duration,
     /// Time that callers wait.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
 }
 
 /// When nodes start.
@@ -114,13 +114,13 @@
                     prefix: GATHER_PREFIX.to_owned(),
                     rate: 60.0,
                     work: Duration::from_millis(9),
-                    patience: Duration::from_millis(1_500),
+                    caller_timeout: Duration::from_millis(1_500),
                 },
                 RouteLoad {
                     prefix: PLAIN_PREFIX.to_owned(),
                     rate: 20.0,
                     work: Duration::from_millis(90),
-                    patience: Duration::from_millis(6_000),
+                    caller_timeout: Duration::from_millis(6_000),
                 },
             ],
             first_zone_share: None,
--- a/crates/thornbridge-rehearsal/src/gateway/world.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world.rs
@@ -377,7 +377,7 @@
             first_asked: self.now,
             tries_left: 1,
             node: (0, 0),
-            until: self.now + self.scenario.loads[load].patience,
+            until: self.now + self.scenario.loads[load].caller_timeout,
         });
     }
 
--- a/crates/thornbridge-rehearsal/src/gateway/world/crashing.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/crashing.rs
@@ -46,7 +46,7 @@
             first_asked: self.now,
             tries_left: 1,
             node: (0, 0),
-            until: self.now + self.scenario.loads[crashing.load].patience,
+            until: self.now + self.scenario.loads[crashing.load].caller_timeout,
         });
         if self.now + crashing.every < crashing.until {
             self.later(crashing.every, FaultStep::AskCrashing(crashing));
--- a/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
@@ -37,13 +37,13 @@
                 attempt,
                 caller,
                 instance,
-                patience,
+                caller_timeout,
             } => {
                 let Some(request) = self.request_of(node, caller) else {
                     return;
                 };
                 if self.in_touch(node) {
-                    self.oracle.patience(self.now, request, patience);
+                    self.oracle.patience(self.now, request, caller_timeout);
                 }
                 let Some(server) = self.machines[node].connections.get(&connection).copied() else {
                     return;
@@ -209,7 +209,7 @@
         asking.node = (node, life);
         let load = self.scenario.loads[asking.load].clone();
         let gather = load.prefix == GATHER_PREFIX;
-        let patience = asking.until.since(self.now);
+        let caller_timeout = asking.until.since(self.now);
         let limit = match gather {
             true => Duration::from_millis(1_500),
             false => Duration::from_millis(6_000),
@@ -217,7 +217,7 @@
         let asked = Asked {
             at: self.now,
             repeatable: gather || self.scenario.plain_repeatable,
-            limit: limit.min(patience),
+            limit: limit.min(caller_timeout),
             attempts: 2,
             refused_not_run: false,
             content: asking.content,
@@ -229,7 +229,7 @@
             fingerprint: Fingerprint(u128::from(asking.content)),
             host: HOST.to_owned(),
             path: format!("{}{request}", load.prefix),
-            patience: Some(patience),
+            caller_timeout: Some(caller_timeout),
             first_on_connection: self.random.random_range(0..4) == 0,
         };
         let until = asking.until;
