--- a/crates/thornbridge-core/src/gateway/pending.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -75,7 +75,8 @@
 
     /// Which try of its caller a request is.
     pub(super) fn classify(&self, request: &PendingRequest) -> CallerTry {
-        self.timeouts.judge(&request.head, request.caller_timeout())
+        self.timeouts
+            .classify(&request.head, request.caller_timeout())
     }
 
     pub(super) fn len(&self) -> usize {
@@ -104,7 +105,7 @@
             if request.expires_at > now || request.expires_at >= timeout_deadline {
                 continue;
             }
-            if timeouts.judge(&request.head, request.caller_timeout()) == CallerTry::Retry {
+            if timeouts.classify(&request.head, request.caller_timeout()) == CallerTry::Retry {
                 request.expires_at = timeout_deadline;
             }
         }
