--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -1,4 +1,4 @@
-//! Members of a gateway's cluster, and what depends on them: reader order, budgets, shares.
+//! Membership of a gateway's cluster: reader order, members that share budgets and connections.
 
 use super::Gateway;
 use super::action::GatewayAction;
@@ -31,15 +31,15 @@
     }
 
     pub(super) fn member_action(&mut self, action: Action) {
-        // State changes of members are reported by `members_changed`.
+        // `members_changed` reports state changes of members.
         if let Action::SendPeer { to, message } = action {
             self.actions
                 .push_back(GatewayAction::SendPeer { to, message });
         }
     }
 
-    /// Sets the number of members that share the budgets; reports a changed number of sharers.
-    fn update_budget_sharers(&mut self, members: usize) {
+    /// Sets the number of members that share the budgets; reports a change of the member bound.
+    fn update_budget_members(&mut self, members: usize) {
         let before = self.budget.member_bound();
         self.budget.set_members(members);
         let sharers = self.budget.member_bound();
@@ -51,25 +51,29 @@
 
     pub(super) fn members_changed(&mut self, view: &MemberView) {
         let own = view.own().endpoint.address;
-        let own_sharer = sharer(view.own());
-        let members = view.members().iter().map(sharer);
-        self.view_gossip.set_peers(&own_sharer, members);
+        let own_location = member_location(view.own());
+        let members = view.members().iter().map(member_location);
+        self.view_gossip.set_peers(&own_location, members);
         let endpoints = view.members().iter().map(|member| member.endpoint);
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
-        let sharers: Vec<MemberLocation> = view.accepting_work().map(sharer).collect();
-        let position = sharers.iter().position(|member| member.address == own);
-        let rank = position.unwrap_or(sharers.len());
+        let accepting_members: Vec<MemberLocation> =
+            view.accepting_work().map(member_location).collect();
+        let position = accepting_members
+            .iter()
+            .position(|member| member.address == own);
+        let rank = position.unwrap_or(accepting_members.len());
         self.freshness.set_rank(rank);
         for source in self.sources_mut() {
             source.set_rank(rank);
         }
-        self.view_gossip.set_readers(&own_sharer, &sharers, rank);
-        let members = sharers.len().max(1);
-        self.update_budget_sharers(members);
-        self.slices.set_members(sharers.clone());
+        self.view_gossip
+            .set_readers(&own_location, &accepting_members, rank);
+        let members = accepting_members.len().max(1);
+        self.update_budget_members(members);
+        self.slices.set_members(accepting_members.clone());
         self.division_stale = true;
-        self.servers.set_members(self.now, sharers);
+        self.servers.set_members(self.now, accepting_members);
         if members != self.members {
             self.members = members;
             let change = GatewayChange::Members { members };
@@ -78,7 +82,7 @@
     }
 }
 
-fn sharer(member: &MemberRecord) -> MemberLocation {
+fn member_location(member: &MemberRecord) -> MemberLocation {
     MemberLocation {
         address: member.endpoint.address,
         zone: member.zone.clone(),
--- a/crates/thornbridge-core/src/gateway/peer_messages.rs
+++ b/crates/thornbridge-core/src/gateway/peer_messages.rs
@@ -24,7 +24,7 @@
                     self.quarantine.learnt(self.now, &mut self.actions, record);
                 }
             }
-            // Protocols of [`crate::Node`] only.
+            // Query and action clusters ([`crate::Node`]) use these messages, gateways do not.
             PeerMessage::Configuration(_) | PeerMessage::Health(_) | PeerMessage::Action(_) => {}
         }
     }
--- a/crates/thornbridge-core/src/gateway/view_updates.rs
+++ b/crates/thornbridge-core/src/gateway/view_updates.rs
@@ -19,11 +19,11 @@
 
 impl Gateway {
     pub(super) fn digest(&self) -> ViewDigest {
-        let current = self.configuration.as_ref();
-        let in_force = current.map_or(0, |configuration| configuration.version.0);
+        let active = self.configuration.as_ref();
+        let active = active.map_or(0, |configuration| configuration.version.0);
         let staged = self.staging.version().map_or(0, |version| version.0);
         ViewDigest {
-            configuration: in_force.max(staged),
+            configuration: active.max(staged),
             registry: self.registry.revision().unwrap_or_default(),
             evacuations: self.evacuations.revision().unwrap_or_default(),
         }
@@ -278,6 +278,7 @@
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
+    /// Applies added, changed and removed instances to the servers.
     pub(super) fn apply_registry_changes(
         &mut self,
         changes: Vec<RegistryChange>,
@@ -311,7 +312,7 @@
             }
         }
         self.division_stale = true;
-        self.reassign_waiting_requests();
+        self.reassign_queued_parts();
     }
 
     /// Applies starts and ends of evacuations to the servers, and reports them.
@@ -335,11 +336,11 @@
             self.actions.push_back(GatewayAction::Changed(change));
         }
         self.division_stale = true;
-        self.reassign_waiting_requests();
+        self.reassign_queued_parts();
     }
 
-    /// Moves requests that wait for a leaving server to other servers.
-    pub(super) fn reassign_waiting_requests(&mut self) {
+    /// Reassigns parts that are queued at servers that no longer take requests.
+    pub(super) fn reassign_queued_parts(&mut self) {
         for server in self.servers.unavailable_with_queued() {
             let (exchanges, mut context) = self.exchanges();
             exchanges.server_unavailable(&mut context, server);
--- a/crates/thornbridge-core/src/gateway/views/era.rs
+++ b/crates/thornbridge-core/src/gateway/views/era.rs
@@ -21,7 +21,7 @@
     Era(u64),
 }
 
-/// Error: an answer of an era older than the current one.
+/// Error for an answer of an era older than the current one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("answer of era {reported} after one of era {current}"))]
 pub struct StaleEra {
