--- a/crates/thornbridge-core/src/gateway/servers/choosing.rs
+++ b/crates/thornbridge-core/src/gateway/servers/choosing.rs
@@ -24,7 +24,7 @@
     pub(in crate::gateway) server: ServerKey,
     /// Expected latency of the answer plus all penalties.
     pub(in crate::gateway) cost: Duration,
-    /// Whether an attempt at the server is overdue.
+    /// Whether the server is silent: an attempt at it is overdue.
     pub(in crate::gateway) silent: bool,
 }
 
@@ -90,7 +90,7 @@
     fn cost(&self, now: Timestamp, server: &Server, work: Duration, silent: bool) -> Duration {
         let parameters = &self.parameters;
         let slowdown = server.slowdown(parameters, now);
-        let limit = self.services[server.service.0 as usize].own_connections;
+        let limit = self.services[server.service.0 as usize].own_connection_limit;
         // The node's connection limit may be lower than the server's slots.
         let concurrency = server.slots.min(limit.max(1));
         let queue = server.queue_length(now, concurrency) / f64::from(concurrency);
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -18,7 +18,7 @@
 const DEFAULT_CONNECTION_LIMIT: u32 = 2;
 /// Share of an announced keep-alive time left unused, since the server starts counting earlier.
 const KEEP_ALIVE_MARGIN_SHARE: f64 = 0.3;
-/// Upper bound of that margin; covers the network delay and a stall of this node.
+/// Upper bound of the unused keep-alive time; covers network delay and stalls of this node.
 const KEEP_ALIVE_MARGIN_MAXIMUM: Duration = Duration::from_millis(500);
 /// Factor on the number of owners: member lists differ, so more nodes may consider themselves owners.
 const OWNER_COUNT_FACTOR: u32 = 2;
@@ -51,7 +51,7 @@
     /// Updates and returns the number of connections that this node may have to each server.
     fn connection_limit(&mut self, now: Timestamp, service: ServiceKey) -> u32 {
         let limit = self.compute_connection_limit(now, service);
-        self.services[service.0 as usize].own_connections = limit;
+        self.services[service.0 as usize].own_connection_limit = limit;
         limit
     }
 
@@ -59,15 +59,15 @@
         if now.since_epoch() < self.parameters.settling {
             return 1;
         }
-        let known = self.services[service.0 as usize].connections;
-        let Some(all) = known else {
+        let configured = self.services[service.0 as usize].connection_limit;
+        let Some(total) = configured else {
             return DEFAULT_CONNECTION_LIMIT;
         };
         let members = match self.services[service.0 as usize].ownership {
             Some(ownership) => f64::from(ownership.owners * OWNER_COUNT_FACTOR),
             None => self.members.maximum(now).max(1) as f64,
         };
-        let share = f64::from(all) * self.parameters.connection_share / members;
+        let share = f64::from(total) * self.parameters.connection_share / members;
         (share as u32).clamp(1, self.parameters.connections_maximum)
     }
 
@@ -147,8 +147,8 @@
 
     /// Opens connections ahead of use for all warm services, and closes expired idle connections.
     ///
-    /// A server whose last connection expired unused is connected to again only on demand, or if
-    /// its service has no other connection.
+    /// A server whose last connection expired idle, or was lost unused, is connected to again only on
+    /// demand, or if its service has no other connection.
     pub(in crate::gateway) fn keep_warm(
         &mut self,
         now: Timestamp,
@@ -213,7 +213,7 @@
         keys.take(marked.max(least).min(room)).collect()
     }
 
-    /// Removes a connection from the tables and from its server.
+    /// Removes a connection from the table and from its server.
     pub(super) fn remove_connection(&mut self, connection: ConnectionId) -> Option<Connection> {
         let entry = self.connections.remove(&connection)?;
         if let Some(until) = entry.probation_until {
@@ -287,7 +287,7 @@
         self.discard_connection(connection);
     }
 
-    /// Removes a closed connection, and its server if that is drained.
+    /// Removes a closed connection, and its server if that is gone and unused.
     pub(in crate::gateway) fn discard_connection(&mut self, connection: ConnectionId) {
         if let Some(entry) = self.remove_connection(connection) {
             self.remove_if_unused(entry.server);
--- a/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -10,10 +10,10 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// Time beyond a round trip within which an overloaded server resets a fresh connection.
+/// Time beyond a round trip within which a server over its limit resets a fresh connection.
 const PROBATION_MARGIN: Duration = Duration::from_millis(4);
 /// Longest round trip taken into account by a probation.
-const PROBATION_MAXIMUM: Duration = Duration::from_millis(60);
+const PROBATION_ROUND_TRIP_MAXIMUM: Duration = Duration::from_millis(60);
 /// Time after opening within which the loss of an unused connection counts as a refusal.
 const REFUSAL_WINDOW: Duration = Duration::from_millis(400);
 
@@ -24,12 +24,12 @@
     Unreachable,
     /// The connection was reset right after opening: the server is over its connection limit.
     Refused,
-    /// The connection was closed after use or after some time idle.
+    /// The connection was closed after it had been used, or had been idle for some time.
     Idle,
 }
 
 impl Connection {
-    fn loss(&self, now: Timestamp) -> ConnectionLoss {
+    fn classify_loss(&self, now: Timestamp) -> ConnectionLoss {
         match self.opened_at {
             None => ConnectionLoss::Unreachable,
             Some(at) if !self.used && now.since(at) < REFUSAL_WINDOW => ConnectionLoss::Refused,
@@ -44,7 +44,7 @@
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
-        took: Duration,
+        connect_time: Duration,
     ) -> Option<ServerKey> {
         let settling = now.since_epoch() < self.parameters.settling;
         let on_probation = settling || self.scarcity.has_refusals(now);
@@ -55,9 +55,9 @@
         let server = self.servers.get_mut(&key)?;
         server.opening = server.opening.saturating_sub(1);
         server.open += 1;
-        server.observe_round_trip(took);
+        server.observe_round_trip(connect_time);
         if on_probation {
-            let until = now + took.min(PROBATION_MAXIMUM) + PROBATION_MARGIN;
+            let until = now + connect_time.min(PROBATION_ROUND_TRIP_MAXIMUM) + PROBATION_MARGIN;
             entry.probation_until = Some(until);
             self.scarcity.begin_probation(connection, until);
             return None;
@@ -103,7 +103,7 @@
         connection: ConnectionId,
     ) -> Option<(ServerKey, ConnectionLoss)> {
         let entry = self.remove_connection(connection)?;
-        let loss = entry.loss(now);
+        let loss = entry.classify_loss(now);
         if loss == ConnectionLoss::Refused {
             self.scarcity.refused(now);
         }
@@ -132,7 +132,7 @@
         connection: ConnectionId,
     ) {
         let known = self.connections.get(&connection);
-        if known.is_some_and(|entry| entry.loss(now) == ConnectionLoss::Refused) {
+        if known.is_some_and(|entry| entry.classify_loss(now) == ConnectionLoss::Refused) {
             self.scarcity.refused(now);
         }
         self.discard_connection(connection);
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -55,14 +55,15 @@
     pub regions: BTreeMap<ZoneName, RegionName>,
 }
 
+/// Servers and connection limits of a service.
 #[derive(Debug, Default)]
 struct ServiceEntry {
     name: Option<ServiceName>,
     servers: Vec<ServerKey>,
     /// Connections that each server accepts from all nodes together, if configured.
-    connections: Option<u32>,
-    /// Connections that this node may have to each server.
-    own_connections: u32,
+    connection_limit: Option<u32>,
+    /// Connections that this node may have to each server, as last computed.
+    own_connection_limit: u32,
     /// Owners that connect to the servers, if the service belongs to a group of shards.
     ownership: Option<Ownership>,
 }
@@ -89,10 +90,14 @@
 }
 
 impl Servers {
-    pub(super) fn new(parameters: ServerParameters, placement: Placement, own: SocketAddr) -> Self {
+    pub(super) fn new(
+        parameters: ServerParameters,
+        placement: Placement,
+        own_address: SocketAddr,
+    ) -> Self {
         let step = parameters.members_memory / MEMBER_WINDOW_STEPS;
         Self {
-            subset: Subset::new(own, &placement),
+            subset: Subset::new(own_address, &placement),
             scarcity: Scarcity::new(parameters.scarcity_window),
             parameters,
             placement,
@@ -150,8 +155,8 @@
         for service in services {
             let key = self.service_key(&service.name);
             let entry = &mut self.services[key.0 as usize];
-            if entry.connections != Some(service.connections) {
-                entry.connections = Some(service.connections);
+            if entry.connection_limit != Some(service.connections) {
+                entry.connection_limit = Some(service.connections);
                 self.subset.invalidate(key);
             }
         }
@@ -209,8 +214,8 @@
         let keys = self.services[service.0 as usize].servers.iter();
         let others = keys.filter(|other| **other != key);
         let others = others.filter_map(|other| self.servers.get(other));
-        let taking = others.filter(|server| server.takes_requests());
-        taking.map(Server::round_trip).min()
+        let available = others.filter(|server| server.takes_requests());
+        available.map(Server::round_trip).min()
     }
 
     /// Number of servers that may get requests.
@@ -253,7 +258,7 @@
         found.map(|(key, _)| *key).collect()
     }
 
-    /// When [`Self::timer_due`] is due next.
+    /// End of the next grace period or probation.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
         let vanishing = self.servers.values().filter_map(Server::vanished_until);
         vanishing.chain(self.scarcity.next_timeout()).min()
@@ -284,11 +289,11 @@
         let Some(server) = self.servers.get(&key) else {
             return;
         };
-        let drained = server.availability == Availability::Gone
-            && server.outstanding.is_empty()
+        let is_unused = server.availability == Availability::Gone
+            && server.in_flight.is_empty()
             && server.open + server.opening == 0
             && server.queue.is_empty();
-        if !drained {
+        if !is_unused {
             return;
         }
         let service = server.service;
--- a/crates/thornbridge-core/src/gateway/servers/queue.rs
+++ b/crates/thornbridge-core/src/gateway/servers/queue.rs
@@ -1,9 +1,9 @@
 //! Queue of the parts of requests that wait for a connection of one server.
 //!
-//! Guards against an overload in which every answer is late, as happens in order of arrival: parts
-//! that can meet their deadline would wait behind parts that cannot. Parts that can still be in time
-//! are sent first, the most urgent ones before the others. Late parts follow by the deadline of
-//! their requests, so that the servers of all shards work on the same requests.
+//! Guards against an overload in which every answer is late: in order of arrival, parts that can
+//! still be answered in time would wait behind parts that cannot. Parts that can be in time are sent
+//! first, the most urgent ones before the others. Late parts follow in the order of their requests'
+//! deadlines, so that the servers of all shards work on the same requests.
 
 use crate::driver_action::CallerId;
 use crate::time::Timestamp;
--- a/crates/thornbridge-core/src/gateway/servers/registering.rs
+++ b/crates/thornbridge-core/src/gateway/servers/registering.rs
@@ -43,10 +43,10 @@
         self.close_idle_if_leaving(actions, key);
     }
 
-    /// The known server of an entry; `None` if it is new or restarted.
+    /// Server of an entry; `None` if the instance is new or has restarted.
     ///
-    /// The server of an earlier run is marked as gone, so that its queued parts move to other servers
-    /// and its connections and statistics are dropped.
+    /// After a restart, the server of the earlier run is marked as gone, so that its queued parts move
+    /// to other servers and its connections and statistics are dropped.
     fn find_run(
         &mut self,
         actions: &mut VecDeque<GatewayAction>,
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -75,7 +75,7 @@
 
 /// An in-flight attempt.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::gateway) struct Outstanding {
+pub(in crate::gateway) struct InFlightAttempt {
     pub(in crate::gateway) attempt: AttemptId,
     pub(in crate::gateway) sent_at: Timestamp,
     /// Expected time to the answer.
@@ -97,36 +97,43 @@
 pub(in crate::gateway) struct Server {
     pub(in crate::gateway) id: BackEndId,
     /// Start of the server process, in Unix milliseconds; 0 if unknown.
-    born_ms: u64,
+    started_ms: u64,
     pub(in crate::gateway) service: ServiceKey,
     pub(in crate::gateway) service_name: ServiceName,
     pub(in crate::gateway) address: SocketAddr,
     pub(in crate::gateway) zone: ZoneName,
     pub(in crate::gateway) distance: Distance,
+    /// Requests that the server processes concurrently.
     pub(in crate::gateway) slots: u32,
     pub(in crate::gateway) availability: Availability,
     /// Whether the server's zone is evacuated.
     pub(super) evacuated: bool,
     /// Whether the server is in the subset that this node connects to.
     pub(in crate::gateway) in_subset: bool,
-    /// Whether to connect ahead of use; cleared when the last connection expired unused.
+    /// Whether to connect ahead of use; cleared when the last connection expires idle or a connection
+    /// is lost unused.
     pub(in crate::gateway) preconnect: bool,
-    pub(in crate::gateway) outstanding: Vec<Outstanding>,
+    pub(in crate::gateway) in_flight: Vec<InFlightAttempt>,
     pub(in crate::gateway) queue: PartQueue,
     pub(in crate::gateway) idle: Vec<IdleConnection>,
+    /// Established connections.
     pub(in crate::gateway) open: u32,
+    /// Connections being established.
     pub(in crate::gateway) opening: u32,
+    /// Earliest time to open another connection.
     pub(in crate::gateway) reconnect_at: Timestamp,
     /// Consecutive connections that could not be opened or were closed before they carried an answer.
     pub(super) consecutive_refusals: u32,
+    /// Whether the log last reported the server as avoided.
     pub(in crate::gateway) avoided: bool,
     cold_until: Timestamp,
     round_trip: Option<Duration>,
     /// Logarithm of the slowdown, and when it was updated.
-    speed: (f64, Timestamp),
+    log_slowdown: (f64, Timestamp),
     /// Decaying failure cost in seconds, and when it was updated.
-    failures: (f64, Timestamp),
+    failure_cost_s: (f64, Timestamp),
     pub(in crate::gateway) rejections: Rejections,
+    /// Last load report, and when it was received.
     load: Option<(ServerLoad, Timestamp)>,
 }
 
@@ -139,7 +146,7 @@
     ) -> Self {
         Self {
             id: instance.id.clone(),
-            born_ms: instance.born_ms,
+            started_ms: instance.born_ms,
             service,
             service_name: instance.service.clone(),
             address: instance.address,
@@ -150,7 +157,7 @@
             evacuated: false,
             in_subset: false,
             preconnect: true,
-            outstanding: Vec::new(),
+            in_flight: Vec::new(),
             queue: PartQueue::default(),
             idle: Vec::new(),
             open: 0,
@@ -160,25 +167,24 @@
             avoided: false,
             cold_until: now + Duration::from_millis(u64::from(instance.cold_milliseconds)),
             round_trip: None,
-            speed: (0.0, now),
-            failures: (0.0, now),
+            log_slowdown: (0.0, now),
+            failure_cost_s: (0.0, now),
             rejections: Rejections::new(now),
             load: None,
         }
     }
 
-    /// Whether a registry entry is of the same run of the server. Entries without a start time are
-    /// taken as such.
+    /// Whether a registry entry belongs to this run of the server; true if a start time is unknown.
     pub(super) fn is_same_run(&self, instance: &Instance) -> bool {
-        let unknown = self.born_ms == 0 || instance.born_ms == 0;
-        unknown || self.born_ms == instance.born_ms
+        let unknown = self.started_ms == 0 || instance.born_ms == 0;
+        unknown || self.started_ms == instance.born_ms
     }
 
     /// Identity of this run of the server, distinct from other runs of the same instance.
     pub(in crate::gateway) fn run_id(&self) -> BackEndId {
-        match self.born_ms {
+        match self.started_ms {
             0 => self.id.clone(),
-            born_ms => BackEndId::new(format!("{}@{born_ms}", self.id.as_str())),
+            started_ms => BackEndId::new(format!("{}@{started_ms}", self.id.as_str())),
         }
     }
 
@@ -215,14 +221,14 @@
     }
 
     /// Updates the round trip by the time that a connection took to open.
-    pub(super) fn observe_round_trip(&mut self, took: Duration) {
-        let known = self.round_trip.unwrap_or(took);
+    pub(super) fn observe_round_trip(&mut self, connect_time: Duration) {
+        let estimate = self.round_trip.unwrap_or(connect_time);
         // The minimum is the network's round trip; longer times include delays in this node.
-        self.round_trip = Some(if took < known {
-            took
+        self.round_trip = Some(if connect_time < estimate {
+            connect_time
         } else {
-            let more = (took - known).mul_f64(ROUND_TRIP_WEIGHT);
-            known + more.min(Duration::from_millis(1))
+            let increase = (connect_time - estimate).mul_f64(ROUND_TRIP_WEIGHT);
+            estimate + increase.min(Duration::from_millis(1))
         });
     }
 
@@ -232,8 +238,8 @@
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> f64 {
-        let (speed, at) = self.speed;
-        let decayed = speed * decay_factor(now.since(at), parameters.speed_half_life);
+        let (log_slowdown, at) = self.log_slowdown;
+        let decayed = log_slowdown * decay_factor(now.since(at), parameters.speed_half_life);
         let cold = if now < self.cold_until {
             COLD_START_SLOWDOWN
         } else {
@@ -255,14 +261,14 @@
         }
         let ratio = work.as_secs_f64() / usual.as_secs_f64();
         let observed = ratio.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1).ln();
-        let (speed, at) = self.speed;
+        let (log_slowdown, at) = self.log_slowdown;
         let age = now.since(at);
-        let decayed = speed * decay_factor(age, parameters.speed_half_life);
+        let decayed = log_slowdown * decay_factor(age, parameters.speed_half_life);
         // The weight of an observation grows with the time since the previous one.
         let intervals = age.as_secs_f64() / parameters.speed_interval.as_secs_f64();
         let weight = 1.0 - (1.0 - parameters.speed_weight).powf(intervals.max(1.0));
         let step = ((observed - decayed) * weight).clamp(-SLOWDOWN_STEP, SLOWDOWN_STEP);
-        self.speed = (decayed + step, now);
+        self.log_slowdown = (decayed + step, now);
     }
 
     /// Adds a failure cost.
@@ -273,7 +279,7 @@
         cost: Duration,
     ) {
         let before = self.failure_cost(parameters, now).as_secs_f64();
-        self.failures = (before + cost.as_secs_f64(), now);
+        self.failure_cost_s = (before + cost.as_secs_f64(), now);
     }
 
     /// Records a connection that was refused or closed before it carried an answer; doubles the
@@ -296,7 +302,7 @@
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> Duration {
-        let (cost, at) = self.failures;
+        let (cost, at) = self.failure_cost_s;
         Duration::from_secs_f64(cost * decay_factor(now.since(at), parameters.failure_half_life))
     }
 
@@ -307,7 +313,7 @@
         attempt: AttemptId,
         expected: Duration,
     ) {
-        self.outstanding.push(Outstanding {
+        self.in_flight.push(InFlightAttempt {
             attempt,
             sent_at: now,
             expected,
@@ -316,7 +322,7 @@
 
     /// Records the end of an attempt.
     pub(in crate::gateway) fn attempt_ended(&mut self, attempt: AttemptId) {
-        self.outstanding.retain(|other| other.attempt != attempt);
+        self.in_flight.retain(|other| other.attempt != attempt);
     }
 
     /// Records a load report of the server.
@@ -329,7 +335,7 @@
     /// The maximum of this node's own requests beyond `concurrency` and, if the server reported its
     /// load recently, of all nodes' requests beyond its slots.
     pub(super) fn queue_length(&self, now: Timestamp, concurrency: u32) -> f64 {
-        let own = (self.outstanding.len() + self.queue.len()) as f64;
+        let own = (self.in_flight.len() + self.queue.len()) as f64;
         let reported = self
             .load
             .filter(|(_, at)| now.since(*at) < LOAD_REPORT_LIFETIME)
@@ -343,13 +349,13 @@
         own.max(reported)
     }
 
-    /// Attempts that are overdue for so long that their connections may be dead.
-    fn overdue_attempts(
+    /// Attempts without an answer for so long that their connections may be dead.
+    fn stalled_attempts(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
-    ) -> impl Iterator<Item = &Outstanding> {
-        self.outstanding.iter().filter(move |attempt| {
+    ) -> impl Iterator<Item = &InFlightAttempt> {
+        self.in_flight.iter().filter(move |attempt| {
             let usual = attempt.expected.mul_f64(parameters.silence_factor);
             let limit = (usual + parameters.silence_margin).max(parameters.dead_connection);
             now.since(attempt.sent_at) > limit
@@ -358,7 +364,7 @@
 
     /// Open connections, idle ones included, without those that may be dead.
     pub(super) fn live_connections(&self, parameters: &ServerParameters, now: Timestamp) -> u32 {
-        let dead = self.overdue_attempts(parameters, now).count() as u32;
+        let dead = self.stalled_attempts(parameters, now).count() as u32;
         self.open.saturating_sub(dead)
     }
 
@@ -370,17 +376,17 @@
         now: Timestamp,
         idle: &IdleConnection,
     ) -> bool {
-        let mut overdue = self.overdue_attempts(parameters, now);
-        overdue.any(|attempt| idle.since <= attempt.sent_at)
+        let mut stalled = self.stalled_attempts(parameters, now);
+        stalled.any(|attempt| idle.since <= attempt.sent_at)
     }
 
-    /// Whether an attempt at the server is overdue.
+    /// Whether an attempt at the server has been in flight for longer than it should take.
     pub(in crate::gateway) fn is_silent(
         &self,
         parameters: &ServerParameters,
         now: Timestamp,
     ) -> bool {
-        self.outstanding.iter().any(|attempt| {
+        self.in_flight.iter().any(|attempt| {
             let limit = attempt.expected.mul_f64(parameters.silence_factor);
             now.since(attempt.sent_at) > limit + parameters.silence_margin
         })
--- a/crates/thornbridge-core/src/gateway/servers/subset.rs
+++ b/crates/thornbridge-core/src/gateway/servers/subset.rs
@@ -36,7 +36,7 @@
 /// Members that share the servers' connections, and services whose assignment is out of date.
 #[derive(Debug)]
 pub(super) struct Subset {
-    own: NodeId,
+    own_node: NodeId,
     own_zone: ZoneName,
     nodes: Vec<SubsetNode>,
     stale_services: BTreeSet<ServiceKey>,
@@ -44,12 +44,12 @@
 }
 
 impl Subset {
-    pub(super) fn new(own: SocketAddr, placement: &Placement) -> Self {
-        let own = stable_node_id(own);
+    pub(super) fn new(own_address: SocketAddr, placement: &Placement) -> Self {
+        let own_node = stable_node_id(own_address);
         Self {
-            own,
+            own_node,
             own_zone: placement.zone.clone(),
-            nodes: vec![SubsetNode::new(own, placement.zone.clone())],
+            nodes: vec![SubsetNode::new(own_node, placement.zone.clone())],
             stale_services: BTreeSet::new(),
             settled: false,
         }
@@ -57,7 +57,7 @@
 
     /// Rank of a server in an order specific to this node, so that nodes connect to different ones.
     pub(super) fn rendezvous_rank(&self, server: &BackEndId) -> u64 {
-        pair_hash(self.own.0, server_hash(server.as_str()))
+        pair_hash(self.own_node.0, server_hash(server.as_str()))
     }
 
     /// Marks the assignment of a service as out of date.
@@ -70,13 +70,13 @@
     /// Sets the members, this node included, that share the servers' connections.
     pub(in crate::gateway) fn set_members(&mut self, now: Timestamp, members: Vec<MemberLocation>) {
         self.members.observe(now, members.len().max(1) as u64);
-        let own = self.subset.own;
+        let own_node = self.subset.own_node;
         let mut nodes: Vec<SubsetNode> = members
             .into_iter()
             .map(|member| SubsetNode::new(stable_node_id(member.address), member.zone))
             .collect();
-        if !nodes.iter().any(|node| node.node == own) {
-            nodes.push(SubsetNode::new(own, self.subset.own_zone.clone()));
+        if !nodes.iter().any(|node| node.node == own_node) {
+            nodes.push(SubsetNode::new(own_node, self.subset.own_zone.clone()));
         }
         self.subset.nodes = nodes;
         self.invalidate_all();
@@ -101,7 +101,7 @@
     /// Recomputes the assignment of a service; returns the number of pairs evaluated.
     fn reassign_service(&mut self, now: Timestamp, service: ServiceKey) -> usize {
         let entry = &self.services[service.0 as usize];
-        let Some(limit) = entry.connections else {
+        let Some(limit) = entry.connection_limit else {
             return 0;
         };
         let keys: Vec<ServerKey> = entry
@@ -153,7 +153,7 @@
         let nodes = self.subset.nodes.clone();
         let mut build = SubsetBuild::new(parameters, topology, nodes, node_count);
         while !build.advance(PAIRS_PER_STEP) {}
-        build.shares(self.subset.own)
+        build.shares(self.subset.own_node)
     }
 
     fn invalidate_all(&mut self) {
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/speeds.rs
@@ -58,7 +58,7 @@
         server.observe_slowdown(&parameters, self.now, took, WORK);
     }
 
-    fn speed(&self) -> f64 {
+    fn slowdown(&self) -> f64 {
         let server = self.servers.get(self.key).unwrap();
         server.slowdown(&self.servers.parameters, self.now)
     }
@@ -72,7 +72,7 @@
     }
     observed.observe(millis(800), WORK * 8);
     observed.observe(millis(800), WORK * 8);
-    assert!(observed.speed() > 2.5, "{}", observed.speed());
+    assert!(observed.slowdown() > 2.5, "{}", observed.slowdown());
 }
 
 #[test]
@@ -80,9 +80,9 @@
     let mut observed = Observed::new();
     observed.observe(millis(800), WORK);
     observed.observe(millis(800), WORK * 12);
-    assert!(observed.speed() < 2.1, "{}", observed.speed());
+    assert!(observed.slowdown() < 2.1, "{}", observed.slowdown());
     observed.observe(millis(800), WORK);
-    assert!(observed.speed() < 1.3, "{}", observed.speed());
+    assert!(observed.slowdown() < 1.3, "{}", observed.slowdown());
 }
 
 #[test]
@@ -92,5 +92,5 @@
         observed.observe(millis(50), WORK);
     }
     observed.observe(millis(50), WORK * 4);
-    assert!(observed.speed() < 1.4, "{}", observed.speed());
+    assert!(observed.slowdown() < 1.4, "{}", observed.slowdown());
 }
