--- a/crates/thornbridge-core/tests/members/bundles.rs
+++ b/crates/thornbridge-core/tests/members/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles of many back ends.
+//! Configuration bundles for the tests.
 
 use std::time::Duration;
 use thornbridge_config::bundle::{
@@ -7,12 +7,12 @@
 };
 use thornbridge_proto::BackEndId;
 
-/// Id of the n-th back end.
+/// Id of the back end with this index.
 pub fn back_end(index: usize) -> BackEndId {
     format!("server-{index:04}").into()
 }
 
-/// One service of so many back ends, in the zones of as many regions.
+/// A bundle with one service of `back_ends` back ends, spread over the zones of `regions` regions.
 pub fn bundle(back_ends: usize, regions: usize) -> Bundle {
     let servers = (0..back_ends).map(|index| BackEnd {
         id: back_end(index),
--- a/crates/thornbridge-core/tests/members/cluster.rs
+++ b/crates/thornbridge-core/tests/members/cluster.rs
@@ -1,5 +1,5 @@
-//! Membership and health sharing of many nodes in virtual time: delay, loss, cuts, pauses,
-//! crashes, and back ends that are probed.
+//! Simulation of membership and health sharing of many nodes in virtual time, with network delay,
+//! loss and splits, pauses, crashes, and probed back ends.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,28 +21,28 @@
 use thornbridge_proto::platform::Machine;
 use thornbridge_proto::{BackEndId, Generation, Incarnation, NodeId, frame};
 
-/// Index of a host. A restarted node is a new host at the same address.
+/// Index of a process. A restarted node is a new process at the same address.
 pub type Host = usize;
 
-/// The parts of a node that are under test.
-pub struct Parts {
+/// Modules of a node under test.
+pub struct NodeParts {
     pub membership: Membership,
     pub health: HealthSharing,
-    pub asks_for_machines: bool,
+    pub machine_list_requested: bool,
 }
 
-/// One server.
+/// A simulated back end.
 #[derive(Clone, Default)]
 pub struct BackEndModel {
     pub report: LoadReport,
     pub down: bool,
-    /// Processes that cannot reach it.
-    pub cut_from: Vec<Host>,
+    /// Processes that cannot reach the back end.
+    pub unreachable_from: Vec<Host>,
 }
 
-/// One process.
+/// A node's process, with statistics of what the node sent.
 pub struct Process {
-    pub parts: Parts,
+    pub parts: NodeParts,
     pub endpoint: PeerEndpoint,
     pub region: usize,
     pub running: bool,
@@ -52,14 +52,15 @@
     pub largest_message: usize,
     pub health_bytes_sent: u64,
     pub probes_sent: u64,
-    /// Last word of each back end that the other parts of the node were given.
-    pub told: BTreeMap<BackEndId, HealthRecord>,
+    /// Last [`Signal::BackEndHealth`] of each back end.
+    pub signalled_health: BTreeMap<BackEndId, HealthRecord>,
     random: Pcg64Mcg,
-    timer: Timestamp,
-    held: Vec<(PeerEndpoint, PeerMessage)>,
+    timer_at: Timestamp,
+    /// Messages that arrived during a pause.
+    undelivered: Vec<(PeerEndpoint, PeerMessage)>,
 }
 
-enum Happening {
+enum EventKind {
     Arrival(Host, PeerEndpoint, Box<PeerMessage>),
     LinkDown(Host, SocketAddr),
     Machines(Host, Vec<Machine>),
@@ -67,15 +68,15 @@
     Timer(Host, Timestamp),
 }
 
-/// What the network does.
+/// Behaviour of the simulated network.
 #[derive(Clone, Debug)]
 pub struct Network {
     pub loss: f64,
     pub delay_in_region: Duration,
     pub delay_between_regions: Duration,
     pub regions_split: bool,
-    /// Whether a message to a crashed process brings a broken link, as when its host lives on.
-    pub refuses: bool,
+    /// Whether sending to a crashed process reports a broken link, as when its host is still up.
+    pub reports_link_down: bool,
 }
 
 impl Default for Network {
@@ -85,12 +86,12 @@
             delay_in_region: Duration::from_millis(1),
             delay_between_regions: Duration::from_millis(15),
             regions_split: false,
-            refuses: false,
+            reports_link_down: false,
         }
     }
 }
 
-/// All processes, and the events to come.
+/// All processes, and the pending events.
 pub struct Cluster {
     pub now: Timestamp,
     pub network: Network,
@@ -100,7 +101,7 @@
     parameters: MembershipParameters,
     hosts: BTreeMap<SocketAddr, Host>,
     events: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    event_kinds: BTreeMap<u64, EventKind>,
     last_event: u64,
     random: Pcg64Mcg,
 }
@@ -120,19 +121,19 @@
             parameters: MembershipParameters::default(),
             hosts: BTreeMap::new(),
             events: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            event_kinds: BTreeMap::new(),
             last_event: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Address of the n-th machine.
+    /// Address of a machine.
     pub fn address(machine: usize) -> SocketAddr {
         let [_, _, high, low] = (machine as u32).to_be_bytes();
         SocketAddr::from(([10, 0, high, low], 7400))
     }
 
-    /// Starts a process on a machine; seeds are machines too.
+    /// Starts a process on a machine. Seeds are given as machines.
     pub fn start(&mut self, machine: usize, region: usize, seeds: &[usize]) -> Host {
         let host = self.processes.len();
         let endpoint = PeerEndpoint {
@@ -151,10 +152,10 @@
         let expects_peers = !seeds.is_empty();
         let seeds = seeds.iter().map(|seed| Self::address(*seed)).collect();
         self.processes.push(Process {
-            parts: Parts {
+            parts: NodeParts {
                 membership: Membership::new(self.parameters.clone(), record, seeds),
                 health: HealthSharing::new(HealthParameters::default(), expects_peers),
-                asks_for_machines: false,
+                machine_list_requested: false,
             },
             endpoint,
             region,
@@ -165,10 +166,10 @@
             largest_message: 0,
             health_bytes_sent: 0,
             probes_sent: 0,
-            told: BTreeMap::new(),
+            signalled_health: BTreeMap::new(),
             random: Pcg64Mcg::seed_from_u64(self.random.random()),
-            timer: Timestamp::MAX,
-            held: Vec::new(),
+            timer_at: Timestamp::MAX,
+            undelivered: Vec::new(),
         });
         self.hosts.insert(endpoint.address, host);
         self.drive(host, |parts, context| parts.membership.started(context));
@@ -176,19 +177,19 @@
         host
     }
 
-    /// Starts `count` processes, one each `spacing`, alternating between regions.
-    pub fn start_many(&mut self, count: usize, regions: usize, spacing: Duration) {
+    /// Starts `count` processes at intervals of `spacing`, alternating between regions.
+    pub fn start_nodes(&mut self, count: usize, regions: usize, spacing: Duration) {
         for machine in 0..count {
             self.start(machine, machine % regions, &[0, 1, 2]);
             self.run(spacing);
         }
     }
 
-    /// Puts a bundle in force on all processes, also those that start later.
+    /// Activates a bundle on all processes, including those started later.
     pub fn install(&mut self, bundle: Bundle) {
-        let known = std::mem::take(&mut self.back_ends);
+        let previous = std::mem::take(&mut self.back_ends);
         for back_end in bundle.back_ends() {
-            let model = known.get(&back_end.id).cloned().unwrap_or_default();
+            let model = previous.get(&back_end.id).cloned().unwrap_or_default();
             self.back_ends.insert(back_end.id.clone(), model);
         }
         let record = GenerationRecord {
@@ -214,18 +215,24 @@
         }
     }
 
-    /// What a process believes of a back end.
-    pub fn believed(&self, host: Host, back_end: &BackEndId) -> HealthRecord {
+    /// Health of a back end as seen by a process.
+    pub fn health_record(&self, host: Host, back_end: &BackEndId) -> HealthRecord {
         let health = &self.processes[host].parts.health;
-        health.record(back_end).expect("it is in the bundle")
+        health
+            .record(back_end)
+            .expect("the back end is in the bundle")
     }
 
-    /// Whether all running processes believe a back end to be so.
-    pub fn all_believe(&self, back_end: &BackEndId, so: impl Fn(&HealthRecord) -> bool) -> bool {
+    /// Whether the health of a back end satisfies `predicate` on all running processes.
+    pub fn all_health_records(
+        &self,
+        back_end: &BackEndId,
+        predicate: impl Fn(&HealthRecord) -> bool,
+    ) -> bool {
         let running = self.running();
         running
             .iter()
-            .all(|host| so(&self.believed(*host, back_end)))
+            .all(|host| predicate(&self.health_record(*host, back_end)))
     }
 
     pub fn crash(&mut self, host: Host) {
@@ -238,18 +245,22 @@
         let address = self.processes[host].endpoint.address;
         let machine = (0..).find(|machine| Self::address(*machine) == address);
         let region = self.processes[host].region;
-        self.start(machine.expect("it has an address"), region, seeds);
+        self.start(
+            machine.expect("every process runs on a machine"),
+            region,
+            seeds,
+        );
     }
 
     pub fn pause(&mut self, host: Host) {
         self.processes[host].paused = true;
     }
 
-    /// Ends a pause: the timer fires late, then what was held arrives.
+    /// Ends a pause: the timer fires late, then undelivered messages arrive.
     pub fn resume(&mut self, host: Host) {
         self.processes[host].paused = false;
         self.drive(host, timer_due);
-        for (from, message) in std::mem::take(&mut self.processes[host].held) {
+        for (from, message) in std::mem::take(&mut self.processes[host].undelivered) {
             self.deliver(host, from, message);
         }
     }
@@ -262,9 +273,9 @@
         self.processes[host].parts.membership.view()
     }
 
-    /// State of `of` as `host` sees it; dead and unknown are `None`.
-    pub fn state_seen(&self, host: Host, of: Host) -> Option<MemberState> {
-        let node = self.processes[of].endpoint.node;
+    /// State of process `target` as observed by `host`; `None` if dead or unknown.
+    pub fn observed_state(&self, host: Host, target: Host) -> Option<MemberState> {
+        let node = self.processes[target].endpoint.node;
         let view = self.view(host);
         view.member(node).map(|member| member.state)
     }
@@ -275,16 +286,16 @@
             .collect()
     }
 
-    /// Whether all running processes but `of` see it so.
-    pub fn all_see(&self, of: Host, state: Option<MemberState>) -> bool {
+    /// Whether all running processes except `target` observe `target` in this state.
+    pub fn all_observe(&self, target: Host, state: Option<MemberState>) -> bool {
         self.running()
             .into_iter()
-            .filter(|host| *host != of)
-            .all(|host| self.state_seen(host, of) == state)
+            .filter(|host| *host != target)
+            .all(|host| self.observed_state(host, target) == state)
     }
 
-    /// Whether the running processes see all of them, and nobody else, as alive or leaving.
-    pub fn agreed(&self) -> bool {
+    /// Whether every running process observes exactly the running processes as alive or leaving.
+    pub fn converged(&self) -> bool {
         let running = self.running();
         let mut expected: Vec<NodeId> = running
             .iter()
@@ -293,14 +304,16 @@
         expected.sort();
         running.iter().all(|host| {
             let view = self.view(*host);
-            let settled = |member: &&MemberRecord| member.state != MemberState::Suspect;
-            let seen = view.members().iter().filter(settled);
-            seen.map(|member| member.endpoint.node)
+            let not_suspected = |member: &&MemberRecord| member.state != MemberState::Suspect;
+            let observed = view.members().iter().filter(not_suspected);
+            observed
+                .map(|member| member.endpoint.node)
                 .eq(expected.iter().copied())
         })
     }
 
-    /// Runs until the condition holds, checked every 10 ms; gives the time it took.
+    /// Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or `None` at the
+    /// limit.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -324,38 +337,38 @@
             }
             self.events.pop();
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&event) {
-                self.happen(happening);
+            if let Some(kind) = self.event_kinds.remove(&event) {
+                self.handle_event(kind);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival(host, from, message) => self.deliver(host, from, *message),
-            Happening::LinkDown(host, address) => {
+    fn handle_event(&mut self, kind: EventKind) {
+        match kind {
+            EventKind::Arrival(host, from, message) => self.deliver(host, from, *message),
+            EventKind::LinkDown(host, address) => {
                 self.drive(host, |parts, context| {
                     parts.membership.link_down(context, address);
                 });
             }
-            Happening::Machines(host, machines) => {
+            EventKind::Machines(host, machines) => {
                 self.drive(host, |parts, context| {
                     parts.membership.machine_list_received(context, &machines);
                 });
             }
-            Happening::Probed(host, back_end, Some(report)) => {
+            EventKind::Probed(host, back_end, Some(report)) => {
                 self.drive(host, |parts, context| {
                     parts.health.probe_replied(context, &back_end, &report);
                 });
             }
-            Happening::Probed(host, back_end, None) => {
+            EventKind::Probed(host, back_end, None) => {
                 self.drive(host, |parts, context| {
                     parts.health.probe_failed(context, &back_end);
                 });
             }
-            Happening::Timer(host, at) => {
-                if self.processes[host].timer == at && !self.processes[host].paused {
+            EventKind::Timer(host, at) => {
+                if self.processes[host].timer_at == at && !self.processes[host].paused {
                     self.drive(host, timer_due);
                 }
             }
@@ -365,7 +378,7 @@
     fn deliver(&mut self, host: Host, from: PeerEndpoint, message: PeerMessage) {
         let process = &mut self.processes[host];
         if process.paused {
-            process.held.push((from, message));
+            process.undelivered.push((from, message));
             return;
         }
         self.drive(host, |parts, context| match message {
@@ -381,8 +394,8 @@
         });
     }
 
-    /// Lets a process do something, and carries out what it wants done.
-    pub fn drive(&mut self, host: Host, call: impl FnOnce(&mut Parts, &mut Context<'_>)) {
+    /// Calls a process, then executes its signals and actions.
+    pub fn drive(&mut self, host: Host, call: impl FnOnce(&mut NodeParts, &mut Context<'_>)) {
         let process = &mut self.processes[host];
         if !process.running {
             return;
@@ -398,7 +411,9 @@
                     process.parts.health.members_changed(&mut context, &view);
                 }
                 Signal::BackEndHealth(record) => {
-                    process.told.insert(record.back_end.clone(), record);
+                    process
+                        .signalled_health
+                        .insert(record.back_end.clone(), record);
                 }
                 Signal::ConfigurationInForce(_) | Signal::BackEndObserved(_) => {}
             }
@@ -410,13 +425,13 @@
                 _ => {}
             }
         }
-        self.list_machines(host);
+        self.answer_machine_list_request(host);
         self.set_timer(host);
     }
 
-    /// Answers a question for the platform's list: all machines that ever were.
-    fn list_machines(&mut self, host: Host) {
-        if std::mem::take(&mut self.processes[host].parts.asks_for_machines) {
+    /// Answers a request for the platform's list with all machines ever used.
+    fn answer_machine_list_request(&mut self, host: Host) {
+        if std::mem::take(&mut self.processes[host].parts.machine_list_requested) {
             let machines = self.hosts.keys().map(|address| Machine {
                 peer_address: *address,
                 zone: "zone-0-0".into(),
@@ -424,17 +439,17 @@
             });
             let machines = machines.collect();
             let at = self.now + self.network.delay_in_region * 5;
-            self.schedule(at, Happening::Machines(host, machines));
+            self.schedule_event(at, EventKind::Machines(host, machines));
         }
     }
 
     fn probe(&mut self, host: Host, back_end: BackEndId) {
         self.processes[host].probes_sent += 1;
         let model = &self.back_ends[&back_end];
-        let reached = !model.down && !model.cut_from.contains(&host);
+        let reached = !model.down && !model.unreachable_from.contains(&host);
         let report = reached.then(|| model.report.clone());
         let at = self.now + self.network.delay_in_region * 2;
-        self.schedule(at, Happening::Probed(host, back_end, report));
+        self.schedule_event(at, EventKind::Probed(host, back_end, report));
     }
 
     fn set_timer(&mut self, host: Host) {
@@ -447,9 +462,9 @@
             return;
         };
         let at = next.max(self.now);
-        if process.timer != at || at == self.now {
-            process.timer = at;
-            self.schedule(at, Happening::Timer(host, at));
+        if process.timer_at != at || at == self.now {
+            process.timer_at = at;
+            self.schedule_event(at, EventKind::Timer(host, at));
         }
     }
 
@@ -468,33 +483,35 @@
         let Some(host) = self.hosts.get(&to).copied() else {
             return;
         };
-        let across = self.processes[host].region != region;
-        if self.random.random_bool(self.network.loss) || (across && self.network.regions_split) {
+        let crosses_regions = self.processes[host].region != region;
+        if self.random.random_bool(self.network.loss)
+            || (crosses_regions && self.network.regions_split)
+        {
             return;
         }
-        let delay = if across {
+        let delay = if crosses_regions {
             self.network.delay_between_regions
         } else {
             self.network.delay_in_region
         };
         let delay = delay.mul_f64(self.random.random_range(0.8..1.5));
         if self.processes[host].running {
-            let arrival = Happening::Arrival(host, endpoint, Box::new(message));
-            self.schedule(self.now + delay, arrival);
-        } else if self.network.refuses {
-            self.schedule(self.now + delay, Happening::LinkDown(from, to));
+            let arrival = EventKind::Arrival(host, endpoint, Box::new(message));
+            self.schedule_event(self.now + delay, arrival);
+        } else if self.network.reports_link_down {
+            self.schedule_event(self.now + delay, EventKind::LinkDown(from, to));
         }
     }
 
-    fn schedule(&mut self, at: Timestamp, happening: Happening) {
+    fn schedule_event(&mut self, at: Timestamp, kind: EventKind) {
         self.last_event += 1;
-        self.happenings.insert(self.last_event, happening);
+        self.event_kinds.insert(self.last_event, kind);
         self.events.push(Reverse((at, self.last_event)));
     }
 }
 
-fn timer_due(parts: &mut Parts, context: &mut Context<'_>) {
+fn timer_due(parts: &mut NodeParts, context: &mut Context<'_>) {
     parts.membership.timer_due(context);
-    parts.asks_for_machines |= parts.membership.machine_list_due(context);
+    parts.machine_list_requested |= parts.membership.machine_list_due(context);
     parts.health.timer_due(context);
 }
--- a/crates/thornbridge-core/tests/members/stateful.rs
+++ b/crates/thornbridge-core/tests/members/stateful.rs
@@ -1,4 +1,4 @@
-//! Random interleavings of faults against a simple model: who runs, and who announced a stop.
+//! Random sequences of faults, checked against a model of the state of each process.
 
 use crate::bundles::{back_end, bundle};
 use crate::cluster::{Cluster, Host, Network, seconds};
@@ -11,21 +11,21 @@
 use thornbridge_proto::peer::membership::MemberState;
 use thornbridge_proto::{Incarnation, NodeId};
 
-const FIRST_NODES: usize = 7;
-const NODES_AT_MOST: usize = 12;
+const INITIAL_NODES: usize = 7;
+const MAXIMUM_NODES: usize = 12;
 const BACK_ENDS: usize = 6;
 const CASES: u32 = 40;
 const LONG_CASES: u32 = 400;
-/// Longer than the probes of dead members, the checks of seeds and the hold of leaving take.
+/// Exceeds the intervals of dead probes and join attempts, and the hold-down of leaving.
 const QUIESCENCE_SECONDS: f64 = 240.0;
 const MESSAGE_LIMIT_BYTES: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum ProcessState {
     Running,
     Paused,
     Leaving,
-    Gone,
+    Stopped,
 }
 
 #[derive(Clone, Debug)]
@@ -38,20 +38,22 @@
     Leave(Host),
     Split(bool),
     Loss(f64),
-    Say(usize, Readiness),
-    Down(usize, bool),
+    SetReadiness(usize, Readiness),
+    SetDown(usize, bool),
     Wait(f64),
 }
 
 #[derive(Clone, Debug)]
 struct Model {
-    lives: Vec<Life>,
+    processes: Vec<ProcessState>,
 }
 
 impl Model {
-    fn hosts(&self, wanted: Life) -> Vec<Host> {
-        let hosts = 0..self.lives.len();
-        hosts.filter(|host| self.lives[*host] == wanted).collect()
+    fn hosts(&self, state: ProcessState) -> Vec<Host> {
+        let hosts = 0..self.processes.len();
+        hosts
+            .filter(|host| self.processes[*host] == state)
+            .collect()
     }
 }
 
@@ -60,36 +62,38 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Model> {
-        let lives = vec![Life::Running; FIRST_NODES];
-        Just(Model { lives }).boxed()
+        let processes = vec![ProcessState::Running; INITIAL_NODES];
+        Just(Model { processes }).boxed()
     }
 
     fn transitions(model: &Model) -> BoxedStrategy<Step> {
-        let running = model.hosts(Life::Running);
-        let paused = model.hosts(Life::Paused);
+        let running = model.hosts(ProcessState::Running);
+        let paused = model.hosts(ProcessState::Paused);
         let wait = (0.05..20.0_f64).prop_map(Step::Wait);
         let split = any::<bool>().prop_map(Step::Split);
         let loss = select(vec![0.0, 0.01, 0.2]).prop_map(Step::Loss);
         let readiness = select(vec![Readiness::Ready, Readiness::Cold, Readiness::Leaving]);
-        let say = (0..BACK_ENDS, readiness).prop_map(|(index, said)| Step::Say(index, said));
-        let down = (0..BACK_ENDS, any::<bool>()).prop_map(|(index, down)| Step::Down(index, down));
+        let set_readiness = (0..BACK_ENDS, readiness)
+            .prop_map(|(index, readiness)| Step::SetReadiness(index, readiness));
+        let down =
+            (0..BACK_ENDS, any::<bool>()).prop_map(|(index, down)| Step::SetDown(index, down));
         let mut steps = vec![
             wait.boxed(),
             split.boxed(),
             loss.boxed(),
-            say.boxed(),
+            set_readiness.boxed(),
             down.boxed(),
         ];
-        if model.lives.len() < NODES_AT_MOST {
+        if model.processes.len() < MAXIMUM_NODES {
             steps.push((0..2_usize).prop_map(Step::Start).boxed());
         }
-        // Seeds 0 and 1 may pause but not end, so that there is always somebody to join through.
-        let mortal: Vec<Host> = running.iter().copied().filter(|host| *host > 1).collect();
-        if !mortal.is_empty() {
-            steps.push(select(mortal.clone()).prop_map(Step::Crash).boxed());
-            steps.push(select(mortal.clone()).prop_map(Step::Leave).boxed());
-            if model.lives.len() < NODES_AT_MOST {
-                steps.push(select(mortal).prop_map(Step::Restart).boxed());
+        // Seeds 0 and 1 may be paused but not stopped, so that other nodes can always join.
+        let stoppable: Vec<Host> = running.iter().copied().filter(|host| *host > 1).collect();
+        if !stoppable.is_empty() {
+            steps.push(select(stoppable.clone()).prop_map(Step::Crash).boxed());
+            steps.push(select(stoppable.clone()).prop_map(Step::Leave).boxed());
+            if model.processes.len() < MAXIMUM_NODES {
+                steps.push(select(stoppable).prop_map(Step::Restart).boxed());
             }
         }
         if !running.is_empty() {
@@ -102,41 +106,41 @@
     }
 
     fn preconditions(model: &Model, step: &Step) -> bool {
-        let is = |host: &Host, life: Life| model.lives.get(*host) == Some(&life);
+        let is = |host: &Host, state: ProcessState| model.processes.get(*host) == Some(&state);
         match step {
             Step::Crash(host) | Step::Restart(host) | Step::Leave(host) | Step::Pause(host) => {
-                is(host, Life::Running)
+                is(host, ProcessState::Running)
             }
-            Step::Resume(host) => is(host, Life::Paused),
+            Step::Resume(host) => is(host, ProcessState::Paused),
             _ => true,
         }
     }
 
     fn apply(mut model: Model, step: &Step) -> Model {
         match step {
-            Step::Start(_) => model.lives.push(Life::Running),
-            Step::Crash(host) => model.lives[*host] = Life::Gone,
+            Step::Start(_) => model.processes.push(ProcessState::Running),
+            Step::Crash(host) => model.processes[*host] = ProcessState::Stopped,
             Step::Restart(host) => {
-                model.lives[*host] = Life::Gone;
-                model.lives.push(Life::Running);
+                model.processes[*host] = ProcessState::Stopped;
+                model.processes.push(ProcessState::Running);
             }
-            Step::Pause(host) => model.lives[*host] = Life::Paused,
-            Step::Resume(host) => model.lives[*host] = Life::Running,
-            Step::Leave(host) => model.lives[*host] = Life::Leaving,
+            Step::Pause(host) => model.processes[*host] = ProcessState::Paused,
+            Step::Resume(host) => model.processes[*host] = ProcessState::Running,
+            Step::Leave(host) => model.processes[*host] = ProcessState::Leaving,
             _ => {}
         }
         model
     }
 }
 
-/// The cluster, and what each node saw of each member at last.
-struct Run {
+/// Simulated cluster, and the last incarnation and state each node observed of each member.
+struct ClusterUnderTest {
     cluster: Cluster,
-    seen: BTreeMap<(Host, NodeId), (Incarnation, MemberState)>,
+    last_observed: BTreeMap<(Host, NodeId), (Incarnation, MemberState)>,
 }
 
-impl Run {
-    fn perform(&mut self, step: Step) {
+impl ClusterUnderTest {
+    fn apply_step(&mut self, step: Step) {
         let cluster = &mut self.cluster;
         match step {
             Step::Start(region) => {
@@ -150,13 +154,13 @@
             Step::Leave(host) => cluster.leave(host),
             Step::Split(split) => cluster.network.regions_split = split,
             Step::Loss(loss) => cluster.network.loss = loss,
-            Step::Say(index, said) => {
+            Step::SetReadiness(index, readiness) => {
                 let model = cluster.back_ends.get_mut(&back_end(index));
-                model.expect("it exists").report.readiness = said;
+                model.expect("the back end exists").report.readiness = readiness;
             }
-            Step::Down(index, down) => {
+            Step::SetDown(index, down) => {
                 let model = cluster.back_ends.get_mut(&back_end(index));
-                model.expect("it exists").down = down;
+                model.expect("the back end exists").down = down;
             }
             Step::Wait(time) => cluster.run(seconds(time)),
         }
@@ -164,23 +168,23 @@
         self.check_views();
     }
 
-    /// Incarnations only rise, and who announced leaving is never alive again.
+    /// Checks that incarnations never decrease and that leaving is never reverted.
     fn check_views(&mut self) {
         for host in self.cluster.running() {
             for member in self.cluster.view(host).members() {
                 let key = (host, member.endpoint.node);
                 let now = (member.incarnation, member.state);
-                if let Some((incarnation, state)) = self.seen.insert(key, now) {
+                if let Some((incarnation, state)) = self.last_observed.insert(key, now) {
                     assert!(
                         now.0 >= incarnation,
-                        "{host} sees {} step back",
+                        "host {host} observed a lower incarnation of {}",
                         member.name
                     );
                     let reverted =
                         state == MemberState::Leaving && member.state != MemberState::Leaving;
                     assert!(
                         !reverted,
-                        "{host} sees {} take back its leaving",
+                        "host {host} observed {} revert from leaving",
                         member.name
                     );
                 }
@@ -200,48 +204,57 @@
         cluster.run(seconds(QUIESCENCE_SECONDS));
     }
 
-    fn check_agreement(&self) {
+    fn check_convergence(&self) {
         let cluster = &self.cluster;
-        assert!(cluster.agreed(), "after the faults all see all that run");
+        assert!(
+            cluster.converged(),
+            "members did not converge after the faults ended"
+        );
         for (id, model) in &cluster.back_ends {
             for host in cluster.running() {
-                let record = cluster.believed(host, id);
-                assert_eq!(record.reachable, !model.down, "{host} on {id}");
+                let record = cluster.health_record(host, id);
+                assert_eq!(record.reachable, !model.down, "host {host}, back end {id}");
                 if !model.down {
-                    assert_eq!(record.readiness, model.report.readiness, "{host} on {id}");
+                    assert_eq!(
+                        record.readiness, model.report.readiness,
+                        "host {host}, back end {id}"
+                    );
                 }
             }
         }
         let processes = cluster.processes.iter();
         let largest = processes.map(|process| process.largest_message).max();
-        assert!(largest <= Some(MESSAGE_LIMIT_BYTES), "{largest:?} bytes");
+        assert!(
+            largest <= Some(MESSAGE_LIMIT_BYTES),
+            "largest message has {largest:?} bytes"
+        );
     }
 }
 
-impl StateMachineTest for Run {
-    type SystemUnderTest = Run;
+impl StateMachineTest for ClusterUnderTest {
+    type SystemUnderTest = ClusterUnderTest;
     type Reference = Model;
 
-    fn init_test(_model: &Model) -> Run {
+    fn init_test(_model: &Model) -> ClusterUnderTest {
         let mut cluster = Cluster::new(1, Network::default());
-        cluster.start_many(FIRST_NODES, 2, seconds(0.05));
+        cluster.start_nodes(INITIAL_NODES, 2, seconds(0.05));
         cluster.install(bundle(BACK_ENDS, 2));
         cluster.run(seconds(5.0));
-        Run {
+        ClusterUnderTest {
             cluster,
-            seen: BTreeMap::new(),
+            last_observed: BTreeMap::new(),
         }
     }
 
-    fn apply(mut run: Run, _model: &Model, step: Step) -> Run {
-        run.perform(step);
-        run
+    fn apply(mut under_test: ClusterUnderTest, _model: &Model, step: Step) -> ClusterUnderTest {
+        under_test.apply_step(step);
+        under_test
     }
 
-    fn teardown(mut run: Run) {
-        run.end_faults();
-        run.check_views();
-        run.check_agreement();
+    fn teardown(mut under_test: ClusterUnderTest) {
+        under_test.end_faults();
+        under_test.check_views();
+        under_test.check_convergence();
     }
 }
 
@@ -260,5 +273,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn faults_in_any_order_end_in_agreement(sequential 1..25 => Run);
+    fn cluster_converges_after_random_faults(sequential 1..25 => ClusterUnderTest);
 }
