--- a/crates/thornbridge-core/benches/control_scale.rs
+++ b/crates/thornbridge-core/benches/control_scale.rs
@@ -44,8 +44,8 @@
     };
     let resident_before = resident_bytes();
     let mut cluster = Cluster::new(size as u64, network);
-    cluster.start_many(size, REGIONS, Duration::from_millis(50));
-    let formed = cluster.run_until(seconds(600.0), Cluster::agreed);
+    cluster.start_nodes(size, REGIONS, Duration::from_millis(50));
+    let formed = cluster.run_until(seconds(600.0), Cluster::converged);
     println!("{size} nodes, 20 starts a second: agreed {formed:?} after the last start");
     let together = forms_at_once(size);
     println!("  all started at once: {together}");
@@ -73,7 +73,7 @@
     }
     let nodes = cluster.running().len() as f64;
     let per_second = (bytes(cluster) - started) / nodes / 120.0;
-    let agreed = cluster.agreed();
+    let agreed = cluster.converged();
     println!("  a replacement each 20 s, for 120 s: {per_second:.0} B/s a node, agreed {agreed}");
 }
 
@@ -84,7 +84,7 @@
     cluster.network.regions_split = false;
     for minute in 1..=10 {
         let healing = window(cluster, 60.0, |_| {});
-        let agreed = cluster.agreed();
+        let agreed = cluster.converged();
         println!("  healing, minute {minute}: {healing}, agreed {agreed}");
         if agreed {
             return;
@@ -119,13 +119,15 @@
     for sample in 0..SAMPLES {
         let victim = 3 + sample;
         cluster.crash(victim);
-        let seen = cluster.run_until(seconds(30.0), |cluster| cluster.all_see(victim, None));
+        let seen = cluster.run_until(seconds(30.0), |cluster| cluster.all_observe(victim, None));
         crashes.push(seen);
         cluster.run(seconds(5.0));
         let leaver = 3 + SAMPLES + sample;
         cluster.leave(leaver);
         let leaving = Some(MemberState::Leaving);
-        let seen = cluster.run_until(seconds(30.0), |cluster| cluster.all_see(leaver, leaving));
+        let seen = cluster.run_until(seconds(30.0), |cluster| {
+            cluster.all_observe(leaver, leaving)
+        });
         leaves.push(seen);
         cluster.crash(leaver);
         cluster.run(seconds(5.0));
@@ -141,7 +143,7 @@
     });
     println!(
         "  rack of {rack} lost, 30 s: {lost}, agreed {}",
-        cluster.agreed()
+        cluster.converged()
     );
 }
 
@@ -162,7 +164,7 @@
         let model = cluster.back_ends.get_mut(&id).expect("it is in the bundle");
         model.report.readiness = Readiness::Leaving;
         let seen = cluster.run_until(seconds(30.0), |cluster| {
-            cluster.all_believe(&id, |record| record.readiness == Readiness::Leaving)
+            cluster.all_health_records(&id, |record| record.readiness == Readiness::Leaving)
         });
         leaves.push(seen);
     }
@@ -191,7 +193,7 @@
     let mut pairs = 0;
     for host in cluster.running() {
         for index in (0..back_ends).step_by(share) {
-            let record = cluster.believed(host, &back_end(index));
+            let record = cluster.health_record(host, &back_end(index));
             let holds = record
                 .snapshots
                 .is_some_and(|held| held[0].as_str() == label);
@@ -204,8 +206,8 @@
 
 fn forms_at_once(size: usize) -> String {
     let mut cluster = Cluster::new(size as u64 + 1, Network::default());
-    cluster.start_many(size, REGIONS, Duration::ZERO);
-    let agreed = cluster.run_until(seconds(600.0), Cluster::agreed);
+    cluster.start_nodes(size, REGIONS, Duration::ZERO);
+    let agreed = cluster.run_until(seconds(600.0), Cluster::converged);
     let bytes: u64 = cluster
         .processes
         .iter()
