--- a/crates/thornbridge-core/src/gateway/activation.rs
+++ b/crates/thornbridge-core/src/gateway/activation.rs
@@ -10,7 +10,7 @@
 
 impl Gateway {
     /// Stages a configuration if it is valid and newer; returns whether it was staged.
-    pub(super) fn take_configuration(
+    pub(super) fn stage_configuration(
         &mut self,
         configuration: RouteConfiguration,
         origin: ViewOrigin,
@@ -29,15 +29,15 @@
         self.servers.configure(&configuration.services, services);
         self.staging
             .stage(self.now, Arc::new(configuration), origin);
-        self.division_stale = true;
-        self.divide();
+        self.slices_outdated = true;
+        self.update_slices();
         self.servers.keep_warm(self.now, &mut self.actions);
         true
     }
 
     /// Whether the staged configuration can be activated: its services have connections, the
     /// staging time is over, or no configuration is active.
-    pub(super) fn staged_may_start(&mut self) -> bool {
+    pub(super) fn staged_is_ready(&mut self) -> bool {
         let Some(staged) = self.staging.get() else {
             return false;
         };
@@ -53,7 +53,7 @@
     }
 
     /// Activates the staged configuration.
-    pub(super) fn put_in_force(&mut self) {
+    pub(super) fn activate_staged(&mut self) {
         let Some(staged) = self.staging.take() else {
             return;
         };
@@ -64,8 +64,8 @@
         } = staged;
         let replaced = self.routes.version;
         self.routes.apply(&configuration, &mut self.servers);
-        self.division_stale = true;
-        self.divide();
+        self.slices_outdated = true;
+        self.update_slices();
         let limits = configuration.limits;
         self.actions.push_back(GatewayAction::SetLimits { limits });
         let change = GatewayChange::ConfigurationActivated {
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -37,7 +37,7 @@
     gather: &ResolvedGather,
 ) -> Option<GatewayAnswer> {
     let progress = request.progress();
-    let enough = progress.answered >= gather.least_parts;
+    let enough = progress.answered >= gather.min_parts;
     let complete = progress.pending() == 0;
     if enough && (complete || now >= request.soft_deadline) {
         return Some(merged_answer(request, gather, progress));
@@ -47,7 +47,7 @@
         true => 0,
         false => request.stalled_parts(),
     };
-    if progress.answered + progress.pending() < gather.least_parts + stalled {
+    if progress.answered + progress.pending() < gather.min_parts + stalled {
         return Some(refusal(parameters, request, RefusalReason::TooFewShards));
     }
     (now >= request.deadline).then(|| refusal(parameters, request, RefusalReason::TimedOut))
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -48,7 +48,7 @@
         };
         let outcome = outcome_of(&reply);
         if let (AttemptOutcome::Answered, Some(fingerprint)) = (outcome, record.suspect) {
-            context.quarantine.answered(context.now, fingerprint);
+            context.quarantine.record_answer(context.now, fingerprint);
         }
         self.observe_reply(context, &record, &reply, outcome);
         let AttemptTarget { server, connection } = record.target;
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -155,7 +155,7 @@
         let attempt = AttemptId(self.next_attempt);
         let expected = self.expected_latency(context, request, target.server);
         context.servers.occupy(target.connection, attempt);
-        context.quarantine.sent(request.fingerprint);
+        context.quarantine.record_attempt(request.fingerprint);
         let Some(server) = context.servers.get_mut(target.server) else {
             return;
         };
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -145,7 +145,9 @@
             self.refuse_unstarted(context, caller, &head, &route, reason, retry_after);
             return;
         }
-        let policy = context.quarantine.caution(context.now, head.fingerprint);
+        let policy = context
+            .quarantine
+            .send_policy(context.now, head.fingerprint);
         if !policy.allows_new_attempts() {
             self.refuse_crashing(context, caller, &head, &route);
             return;
@@ -228,7 +230,9 @@
             return;
         };
         self.schedule.remove(&(request.check_at, caller));
-        let policy = context.quarantine.caution(context.now, request.fingerprint);
+        let policy = context
+            .quarantine
+            .send_policy(context.now, request.fingerprint);
         if policy == SendPolicy::Unrestricted {
             self.advance_slices(context, &mut request);
         }
@@ -352,7 +356,7 @@
         false => !context.servers.is_evacuated(**key),
     });
     let (required, reason) = match &route.target {
-        ResolvedTarget::Gather(gather) => (gather.least_parts, RefusalReason::TooFewShards),
+        ResolvedTarget::Gather(gather) => (gather.min_parts, RefusalReason::TooFewShards),
         ResolvedTarget::Service(_) | ResolvedTarget::Split(_) => (1, RefusalReason::NoServer),
     };
     (served.count() < required).then_some(reason)
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -180,7 +180,7 @@
     if !answered.is_empty() {
         context
             .quarantine
-            .answered(context.now, request.fingerprint);
+            .record_answer(context.now, request.fingerprint);
     }
     let Some(delegation) = slice.delegation_mut(sender.id) else {
         return;
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -52,7 +52,10 @@
 impl Exchanges {
     /// Whether the request may be sent to another server now.
     pub(super) fn may_send_now(context: &Context<'_>, request: &Request) -> bool {
-        match context.quarantine.caution(context.now, request.fingerprint) {
+        match context
+            .quarantine
+            .send_policy(context.now, request.fingerprint)
+        {
             SendPolicy::Unrestricted => true,
             SendPolicy::OneAtATime => !request.has_attempt_in_flight(),
             SendPolicy::AwaitInFlight | SendPolicy::Refuse => false,
@@ -70,7 +73,7 @@
         let fingerprint = task.fingerprint;
         context
             .quarantine
-            .tell_peer(context.now, context.actions, coordinator, fingerprint);
+            .notify_peer(context.now, context.actions, coordinator, fingerprint);
         self.refuse_slice(context, coordinator, task.slice);
     }
 
@@ -83,7 +86,7 @@
         route: &ResolvedRoute,
     ) {
         let reason = RefusalReason::CrashesServers;
-        let remaining = context.quarantine.lasts(context.now, head.fingerprint);
+        let remaining = context.quarantine.remaining(context.now, head.fingerprint);
         self.refuse_unstarted(context, caller, head, route, reason, remaining);
     }
 
@@ -97,7 +100,9 @@
         let server = context.servers.get(record.target.server);
         if let (Some(fingerprint), Some(server)) = (fingerprint, server) {
             let run = server.run_id();
-            context.quarantine.crashed(context.now, fingerprint, &run);
+            context
+                .quarantine
+                .record_crash(context.now, fingerprint, &run);
         }
     }
 
@@ -105,9 +110,11 @@
     pub(super) fn give_up(&mut self, context: &mut Context<'_>, mut request: Request) {
         context
             .quarantine
-            .given_up(context.now, request.fingerprint);
+            .record_abandoned(context.now, request.fingerprint);
         if matches!(request.origin, Origin::Caller) {
-            let remaining = context.quarantine.lasts(context.now, request.fingerprint);
+            let remaining = context
+                .quarantine
+                .remaining(context.now, request.fingerprint);
             let answer = crash_refusal(&request, remaining);
             self.finish(context, request, answer);
             return;
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -94,7 +94,9 @@
         }
         let overloaded = self.requests.len() >= self.parameters.requests_maximum;
         let unknown = services.iter().all(Option::is_none);
-        let policy = context.quarantine.caution(context.now, task.fingerprint);
+        let policy = context
+            .quarantine
+            .send_policy(context.now, task.fingerprint);
         if !policy.allows_new_attempts() {
             self.refuse_crashing_slice(context, coordinator, &task);
             return;
@@ -389,7 +391,7 @@
         target: ResolvedTarget::Gather(ResolvedGather {
             shards,
             records: task.records as usize,
-            least_parts: 1,
+            min_parts: 1,
         }),
         route: Route {
             name,
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -75,11 +75,11 @@
             GatewayEvent::StopRequested => self.stop_requested(),
             GatewayEvent::Reconfigured { parameters } => self.reconfigure(*parameters),
             GatewayEvent::Paused { .. } => {
-                self.stale_until = self.now + STALE_AFTER_PAUSE;
+                self.messages_stale_until = self.now + STALE_AFTER_PAUSE;
                 self.with_membership(|membership, context| membership.clock_jumped(context));
             }
         }
-        self.settle();
+        self.finish_event();
     }
 
     /// Latest time at which the driver must send [`GatewayEvent::TimerDue`].
@@ -115,7 +115,7 @@
             slices: &mut self.slices,
             quarantine: &mut self.quarantine,
             own_address: self.own_address,
-            messages_may_be_stale: self.now < self.stale_until,
+            messages_may_be_stale: self.now < self.messages_stale_until,
             registry: self.registry.revision().unwrap_or_default(),
         };
         (&mut self.exchanges, context)
@@ -152,7 +152,7 @@
             self.apply_registry_changes(released, ViewOrigin::Own);
             let ended = self.evacuations.expire_carried_over(self.now);
             self.apply_evacuation_changes(ended, ViewOrigin::Own);
-            self.divide();
+            self.update_slices();
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
         }
@@ -174,8 +174,8 @@
     }
 
     /// Reassigns slices if members, shards or servers changed.
-    pub(super) fn divide(&mut self) {
-        if !std::mem::take(&mut self.division_stale) {
+    pub(super) fn update_slices(&mut self) {
+        if !std::mem::take(&mut self.slices_outdated) {
             return;
         }
         let mut owned = self.slices.divide(&self.routes, &self.servers);
@@ -223,7 +223,7 @@
         self.slices.set_parameters(parameters.slices.clone());
         self.quarantine
             .set_parameters(parameters.quarantine.clone());
-        self.division_stale = true;
+        self.slices_outdated = true;
         for source in self.sources_mut() {
             source.set_parameters(parameters.views.clone());
         }
@@ -247,10 +247,10 @@
     }
 
     /// Activates a staged configuration, routes waiting requests and updates readiness.
-    fn settle(&mut self) {
+    fn finish_event(&mut self) {
         self.update_reader_role();
-        if self.staged_may_start() {
-            self.put_in_force();
+        if self.staged_is_ready() {
+            self.activate_staged();
         }
         if self.has_views() {
             for waiting in self.pending.take_all() {
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -72,7 +72,7 @@
         let members = accepting_members.len().max(1);
         self.update_budget_members(members);
         self.slices.set_members(accepting_members.clone());
-        self.division_stale = true;
+        self.slices_outdated = true;
         self.servers.set_members(self.now, accepting_members);
         if members != self.members {
             self.members = members;
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -130,9 +130,9 @@
     slices: Slices,
     own_address: SocketAddr,
     /// Whether members, shards or servers changed since slices were last assigned.
-    division_stale: bool,
+    slices_outdated: bool,
     /// Until when received messages may have been queued while this process was paused.
-    stale_until: Timestamp,
+    messages_stale_until: Timestamp,
     pending: PendingRequests,
     ready: bool,
     stopping: bool,
@@ -141,7 +141,7 @@
     /// Whether this node reads the store itself instead of following peers.
     reads: bool,
     /// Whether seeds are configured and this node is not one of them.
-    joins_through_others: bool,
+    joins_via_seeds: bool,
 }
 
 impl Gateway {
@@ -159,7 +159,7 @@
         };
         let views = &parameters.views;
         let own_address = setup.endpoint.address;
-        let joins_through_others = !setup.seeds.is_empty() && !setup.seeds.contains(&own_address);
+        let joins_via_seeds = !setup.seeds.is_empty() && !setup.seeds.contains(&own_address);
         let has_other_seeds = setup.seeds.iter().any(|seed| *seed != own_address);
         let mut random = Pcg64Mcg::seed_from_u64(setup.seed);
         let first_slice = random.random();
@@ -188,8 +188,8 @@
                 first_slice,
             ),
             own_address,
-            division_stale: true,
-            stale_until: Timestamp::ZERO,
+            slices_outdated: true,
+            messages_stale_until: Timestamp::ZERO,
             servers: Servers::new(
                 parameters.servers.clone(),
                 setup.placement,
@@ -201,7 +201,7 @@
             pending: PendingRequests::default(),
             freshness: Freshness::new(parameters.views.staleness_limit),
             reads: true,
-            joins_through_others,
+            joins_via_seeds,
             parameters,
             ready: false,
             stopping: false,
@@ -225,12 +225,12 @@
     }
 
     /// Number of requests with a crash record.
-    pub fn suspects(&self) -> usize {
+    pub fn quarantine_records(&self) -> usize {
         self.quarantine.len()
     }
 
     /// Number of registry entries.
-    pub fn instances(&self) -> usize {
+    pub fn registered_instances(&self) -> usize {
         self.registry.len()
     }
 
@@ -240,7 +240,7 @@
     }
 
     /// Version of the active configuration; 0 if there is none.
-    pub fn version(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.routes.version.0
     }
 }
--- a/crates/thornbridge-core/src/gateway/peer_messages.rs
+++ b/crates/thornbridge-core/src/gateway/peer_messages.rs
@@ -21,7 +21,7 @@
             PeerMessage::Slice(message) => self.slice_message(from.address, message),
             PeerMessage::Quarantine(message) => {
                 for record in &message.records {
-                    self.quarantine.learnt(self.now, &mut self.actions, record);
+                    self.quarantine.merge(self.now, &mut self.actions, record);
                 }
             }
             // Query and action clusters ([`crate::Node`]) use these messages, gateways do not.
@@ -98,7 +98,7 @@
             self.report_rejected_object(format!("configuration of {peer}"), "malformed".to_owned());
             return;
         };
-        if self.take_configuration(configuration, ViewOrigin::Peer) {
+        if self.stage_configuration(configuration, ViewOrigin::Peer) {
             self.announce(Some(peer));
         }
     }
--- a/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
@@ -84,7 +84,7 @@
     }
 
     /// Sends the record of a request to one peer, if there is one.
-    pub(in crate::gateway) fn tell_peer(
+    pub(in crate::gateway) fn notify_peer(
         &self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -102,7 +102,7 @@
     }
 
     /// To how many servers a request may be sent now.
-    pub(super) fn caution(&self, now: Timestamp, fingerprint: Fingerprint) -> SendPolicy {
+    pub(super) fn send_policy(&self, now: Timestamp, fingerprint: Fingerprint) -> SendPolicy {
         let Some(record) = self.records.get(&fingerprint) else {
             return SendPolicy::Unrestricted;
         };
@@ -142,14 +142,14 @@
     }
 
     /// Remaining time for which a quarantined request is refused.
-    pub(super) fn lasts(&self, now: Timestamp, fingerprint: Fingerprint) -> Duration {
+    pub(super) fn remaining(&self, now: Timestamp, fingerprint: Fingerprint) -> Duration {
         let record = self.records.get(&fingerprint);
         let ends_at = record.map_or(now, |record| record.changed_at + self.parameters.kept);
         ends_at.since(now)
     }
 
     /// Counts an attempt of a request.
-    pub(super) fn sent(&mut self, fingerprint: Fingerprint) {
+    pub(super) fn record_attempt(&mut self, fingerprint: Fingerprint) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && let Stage::Probing { canaries, .. } = &mut record.stage
         {
@@ -158,7 +158,7 @@
     }
 
     /// Records that a connection broke under a request that no server has answered.
-    pub(super) fn crashed(
+    pub(super) fn record_crash(
         &mut self,
         now: Timestamp,
         fingerprint: Fingerprint,
@@ -183,7 +183,7 @@
 
     /// Announces the record of an abandoned request at once, before the caller retries at another
     /// node.
-    pub(super) fn given_up(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    pub(super) fn record_abandoned(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let record = self.records.get(&fingerprint);
         if record.is_some_and(|record| record.announced_to < Audience::All) {
             self.schedule_announcement(now, fingerprint);
@@ -191,7 +191,7 @@
     }
 
     /// Records that a server answered a request, which clears it.
-    pub(super) fn answered(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    pub(super) fn record_answer(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let lifetime = self.parameters.answered_lifetime;
         self.answered.add(now, fingerprint, lifetime);
         let Some(record) = self.records.get_mut(&fingerprint) else {
@@ -208,7 +208,7 @@
     }
 
     /// Merges a record received from a peer.
-    pub(super) fn learnt(
+    pub(super) fn merge(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -30,7 +30,7 @@
     /// Maximum number of records in an answer.
     pub(super) records: usize,
     /// Minimum number of shards that must answer.
-    pub(super) least_parts: usize,
+    pub(super) min_parts: usize,
 }
 
 /// Route of one configuration version.
@@ -151,7 +151,7 @@
             let least = gather.least_share * shards.len() as f64 - SHARE_TOLERANCE;
             ResolvedTarget::Gather(ResolvedGather {
                 records: gather.records,
-                least_parts: (least.ceil().max(1.0) as usize).min(shards.len()),
+                min_parts: (least.ceil().max(1.0) as usize).min(shards.len()),
                 shards,
             })
         }
--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -303,7 +303,7 @@
     let older = ViewObject::Configuration(configuration(2, routes));
     harness.new_era(ViewKind::Configuration, vec![older], at(2, 30));
     assert_eq!(harness.gateway.store_era(), 2);
-    assert_eq!(harness.gateway.version(), 3);
+    assert_eq!(harness.gateway.configuration_version(), 3);
     harness.wait(millis(500));
     let caller: CallerId = harness.ask("/x");
     let sent = harness.sent_for(caller);
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -27,11 +27,13 @@
     let routes = vec![route("/", target, Repeatable)];
     let configuration = ViewObject::Configuration(configuration(1, routes));
     // A paused reader accepts no reply.
-    while harness.gateway.instances() == 0 || harness.gateway.version() == 0 {
-        if harness.gateway.instances() == 0 {
+    while harness.gateway.registered_instances() == 0
+        || harness.gateway.configuration_version() == 0
+    {
+        if harness.gateway.registered_instances() == 0 {
             harness.list(ViewKind::Registry, instances.clone(), 50);
         }
-        if harness.gateway.version() == 0 {
+        if harness.gateway.configuration_version() == 0 {
             harness.list(ViewKind::Configuration, vec![configuration.clone()], 50);
         }
         harness.wait(millis(10));
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -34,7 +34,7 @@
 fn quarantine_with(records: &[CrashRecord]) -> Quarantine {
     let mut quarantine = Quarantine::new(QuarantineParameters::default());
     for record in records {
-        quarantine.learnt(Timestamp::ZERO, &mut VecDeque::new(), record);
+        quarantine.merge(Timestamp::ZERO, &mut VecDeque::new(), record);
     }
     quarantine
 }
@@ -85,17 +85,17 @@
         ..record(instances, false)
     };
     let explained = quarantine_with(&[crash_record(1, &[1, 2, 3, 4]), crash_record(2, &[2, 3, 4])]);
-    let caution = |quarantine: &Quarantine, fingerprint| {
-        quarantine.caution(Timestamp::ZERO, Fingerprint(fingerprint))
+    let send_policy = |quarantine: &Quarantine, fingerprint| {
+        quarantine.send_policy(Timestamp::ZERO, Fingerprint(fingerprint))
     };
-    assert_eq!(caution(&explained, 1), SendPolicy::Refuse);
-    assert_eq!(caution(&explained, 2), SendPolicy::OneAtATime);
+    assert_eq!(send_policy(&explained, 1), SendPolicy::Refuse);
+    assert_eq!(send_policy(&explained, 2), SendPolicy::OneAtATime);
     let independent =
         quarantine_with(&[crash_record(1, &[1, 2, 3, 4]), crash_record(2, &[2, 3, 5])]);
-    assert_eq!(caution(&independent, 2), SendPolicy::Refuse);
+    assert_eq!(send_policy(&independent, 2), SendPolicy::Refuse);
     let identical = quarantine_with(&[crash_record(1, &[1, 2, 3]), crash_record(2, &[1, 2, 3])]);
-    assert_eq!(caution(&identical, 1), SendPolicy::Refuse);
-    assert_eq!(caution(&identical, 2), SendPolicy::Refuse);
+    assert_eq!(send_policy(&identical, 1), SendPolicy::Refuse);
+    assert_eq!(send_policy(&identical, 2), SendPolicy::Refuse);
 }
 
 #[test]
@@ -158,8 +158,8 @@
 #[test]
 fn crashes_seen_by_two_nodes_are_aggregated() {
     let quarantine = quarantine_with(&[record(&[1, 2], false), record(&[2, 3], false)]);
-    let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
-    assert_eq!(caution, SendPolicy::Refuse);
+    let send_policy = quarantine.send_policy(Timestamp::ZERO, REQUEST);
+    assert_eq!(send_policy, SendPolicy::Refuse);
 }
 
 #[test]
@@ -169,11 +169,14 @@
     let mut random = rand::SeedableRng::seed_from_u64(1);
     let later = Timestamp::ZERO + kept;
     quarantine.timer_due(later, &mut random, &mut VecDeque::new());
-    assert_eq!(quarantine.caution(later, REQUEST), SendPolicy::OneAtATime);
-    quarantine.crashed(later, REQUEST, &BackEndId::new("i-4"));
+    assert_eq!(
+        quarantine.send_policy(later, REQUEST),
+        SendPolicy::OneAtATime
+    );
+    quarantine.record_crash(later, REQUEST, &BackEndId::new("i-4"));
     let probing = QuarantineParameters::default().testing;
-    let caution = quarantine.caution(later + probing, REQUEST);
-    assert_eq!(caution, SendPolicy::Refuse);
+    let send_policy = quarantine.send_policy(later + probing, REQUEST);
+    assert_eq!(send_policy, SendPolicy::Refuse);
 }
 
 #[test]
@@ -182,10 +185,10 @@
     let limit = QuarantineParameters::default().records_maximum as u128;
     for number in 0..2 * limit {
         let now = Timestamp::ZERO + Duration::from_millis(number as u64);
-        quarantine.crashed(now, Fingerprint(1_000 + number), &BackEndId::new("i-9"));
+        quarantine.record_crash(now, Fingerprint(1_000 + number), &BackEndId::new("i-9"));
     }
-    let caution = quarantine.caution(Timestamp::ZERO, REQUEST);
-    assert_eq!(caution, SendPolicy::Refuse);
+    let send_policy = quarantine.send_policy(Timestamp::ZERO, REQUEST);
+    assert_eq!(send_policy, SendPolicy::Refuse);
     assert_eq!(quarantine.len() as u128, limit);
 }
 
@@ -211,7 +214,7 @@
             (false, _) => SendPolicy::Refuse,
         };
         let quarantine = quarantine_with(&mixed);
-        prop_assert_eq!(quarantine.caution(Timestamp::ZERO, REQUEST), expected);
+        prop_assert_eq!(quarantine.send_policy(Timestamp::ZERO, REQUEST), expected);
     }
 }
 
@@ -236,13 +239,13 @@
 fn recently_answered_request_is_not_suspected() {
     let mut quarantine = quarantine_with(&[]);
     let answered = Timestamp::ZERO + Duration::from_secs(1);
-    quarantine.answered(answered, REQUEST);
+    quarantine.record_answer(answered, REQUEST);
     let crashed_at = answered + Duration::from_secs(2);
     for index in 0..5 {
-        quarantine.crashed(crashed_at, REQUEST, &BackEndId::new(format!("i-{index}")));
+        quarantine.record_crash(crashed_at, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
     assert_eq!(
-        quarantine.caution(crashed_at, REQUEST),
+        quarantine.send_policy(crashed_at, REQUEST),
         SendPolicy::Unrestricted
     );
 }
@@ -250,14 +253,14 @@
 #[test]
 fn request_answered_long_ago_is_quarantined_after_crashes() {
     let mut quarantine = quarantine_with(&[record(&[1], true)]);
-    quarantine.answered(Timestamp::ZERO, REQUEST);
+    quarantine.record_answer(Timestamp::ZERO, REQUEST);
     let later = Timestamp::ZERO + QuarantineParameters::default().answered_lifetime;
     for index in 2..5 {
-        quarantine.crashed(later, REQUEST, &BackEndId::new(format!("i-{index}")));
+        quarantine.record_crash(later, REQUEST, &BackEndId::new(format!("i-{index}")));
     }
     let probing_ended = later + QuarantineParameters::default().testing;
     assert_eq!(
-        quarantine.caution(probing_ended, REQUEST),
+        quarantine.send_policy(probing_ended, REQUEST),
         SendPolicy::Refuse
     );
 }
@@ -266,21 +269,21 @@
 fn peer_record_is_accepted_long_after_clearance() {
     let mut quarantine = quarantine_with(&[record(&[1], true)]);
     let later = Timestamp::ZERO + QuarantineParameters::default().answered_lifetime;
-    quarantine.learnt(later, &mut VecDeque::new(), &record(&[2, 3, 4], false));
-    assert_eq!(quarantine.caution(later, REQUEST), SendPolicy::Refuse);
+    quarantine.merge(later, &mut VecDeque::new(), &record(&[2, 3, 4], false));
+    assert_eq!(quarantine.send_policy(later, REQUEST), SendPolicy::Refuse);
 }
 
 #[test]
 fn peer_record_of_recently_answered_request_is_ignored() {
     let mut quarantine = quarantine_with(&[]);
-    quarantine.answered(Timestamp::ZERO, REQUEST);
-    quarantine.learnt(
+    quarantine.record_answer(Timestamp::ZERO, REQUEST);
+    quarantine.merge(
         Timestamp::ZERO,
         &mut VecDeque::new(),
         &record(&[1, 2, 3], false),
     );
     assert_eq!(
-        quarantine.caution(Timestamp::ZERO, REQUEST),
+        quarantine.send_policy(Timestamp::ZERO, REQUEST),
         SendPolicy::Unrestricted
     );
 }
--- a/crates/thornbridge-core/src/gateway/tests/restarts.rs
+++ b/crates/thornbridge-core/src/gateway/tests/restarts.rs
@@ -83,19 +83,19 @@
 #[test]
 fn unusable_entry_removes_the_server() {
     let mut harness = with_idle_connection();
-    assert_eq!(harness.gateway.instances(), 1);
+    assert_eq!(harness.gateway.registered_instances(), 1);
     harness.changes(ViewKind::Registry, vec![unusable(51)], 51);
-    assert_eq!(harness.gateway.instances(), 0);
+    assert_eq!(harness.gateway.registered_instances(), 0);
     // The server writes its entry again.
     harness.wait(millis(400));
     let again = vec![unusable(52), entry(53, BORN_MS, 80)];
     harness.changes(ViewKind::Registry, again, 53);
-    assert_eq!(harness.gateway.instances(), 1);
+    assert_eq!(harness.gateway.registered_instances(), 1);
 }
 
 #[test]
 fn unusable_entry_without_revision_removes_no_server() {
     let mut harness = with_idle_connection();
     harness.changes(ViewKind::Registry, vec![unusable(0)], 60);
-    assert_eq!(harness.gateway.instances(), 1);
+    assert_eq!(harness.gateway.registered_instances(), 1);
 }
--- a/crates/thornbridge-core/src/gateway/tests/routing.rs
+++ b/crates/thornbridge-core/src/gateway/tests/routing.rs
@@ -100,7 +100,7 @@
         61,
     );
     harness.wait(millis(1_000));
-    assert_eq!(harness.gateway.version(), 9);
+    assert_eq!(harness.gateway.configuration_version(), 9);
 }
 
 #[test]
@@ -114,7 +114,7 @@
         60,
     );
     harness.wait(millis(900));
-    assert_eq!(harness.gateway.version(), 2);
+    assert_eq!(harness.gateway.configuration_version(), 2);
 }
 
 #[test]
@@ -127,7 +127,7 @@
         60,
     );
     harness.wait(millis(1_000));
-    assert_eq!(harness.gateway.version(), 1);
+    assert_eq!(harness.gateway.configuration_version(), 1);
 }
 
 #[test]
--- a/crates/thornbridge-core/src/gateway/view_updates.rs
+++ b/crates/thornbridge-core/src/gateway/view_updates.rs
@@ -45,7 +45,7 @@
         }
         let digest = self.digest();
         self.freshness.confirm_if_caught_up(digest);
-        let is_joining = self.joins_through_others && self.now.since_epoch() < JOIN_GRACE_PERIOD;
+        let is_joining = self.joins_via_seeds && self.now.since_epoch() < JOIN_GRACE_PERIOD;
         let following = is_joining || !self.freshness.should_read(self.now);
         self.report_reader_change(!following);
         let (now, actions) = (self.now, &mut self.actions);
@@ -142,7 +142,7 @@
             match object {
                 ViewObject::Instance(revision, instance) => entries.push((revision, instance)),
                 ViewObject::Configuration(configuration) => {
-                    changed |= self.take_configuration(configuration, ViewOrigin::Store);
+                    changed |= self.stage_configuration(configuration, ViewOrigin::Store);
                 }
                 ViewObject::Unusable { name, reason, .. } => {
                     self.report_rejected_object(name, reason)
@@ -236,7 +236,7 @@
                     changes.extend(self.registry.remove(self.now, revision, at, &id));
                 }
                 ViewObject::Configuration(configuration) => {
-                    changed |= self.take_configuration(configuration, ViewOrigin::Store);
+                    changed |= self.stage_configuration(configuration, ViewOrigin::Store);
                 }
                 ViewObject::EvacuationStarted(zone) => evacuation_changes.push(EvacuationChange {
                     zone,
@@ -311,7 +311,7 @@
                 }
             }
         }
-        self.division_stale = true;
+        self.slices_outdated = true;
         self.reassign_queued_parts();
     }
 
@@ -335,7 +335,7 @@
             };
             self.actions.push_back(GatewayAction::Changed(change));
         }
-        self.division_stale = true;
+        self.slices_outdated = true;
         self.reassign_queued_parts();
     }
 
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -254,9 +254,9 @@
         self.carry_out_all();
         let standing = Standing {
             members: self.gateway.members(),
-            instances: self.gateway.instances(),
-            suspects: self.gateway.suspects(),
-            version: self.gateway.version(),
+            instances: self.gateway.registered_instances(),
+            suspects: self.gateway.quarantine_records(),
+            version: self.gateway.configuration_version(),
             store_era: self.gateway.store_era(),
             in_flight: self.gateway.in_flight(),
             connections: self.connections.len(),
