--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -153,11 +153,11 @@
     let caller = harness.ask("/x");
     let sent = harness.sent_for(caller);
     assert!(sent.iter().all(|sent| sent.caller_timeout <= millis(1_000)));
-    let longer = harness.ask("/x");
+    let second_caller = harness.ask("/x");
     harness.wait(millis(400));
-    let later = harness.sent_for(longer);
+    let later_attempts = harness.sent_for(second_caller);
     assert!(
-        later
+        later_attempts
             .iter()
             .skip(3)
             .all(|sent| sent.caller_timeout <= millis(620))
--- a/crates/thornbridge-core/src/gateway/tests/delays.rs
+++ b/crates/thornbridge-core/src/gateway/tests/delays.rs
@@ -45,8 +45,8 @@
     let started = harness.now;
     let caller = harness.ask("/all/x");
     let first = harness.sent_for(caller);
-    let of_first = first.iter().find(|sent| sent.instance == "i-1");
-    let attempt = of_first.expect("an attempt at i-1").attempt;
+    let first_attempt = first.iter().find(|sent| sent.instance == "i-1");
+    let attempt = first_attempt.expect("an attempt at i-1").attempt;
     harness.reply(attempt, answer(b"0000000000000001"));
     while !harness.answers.contains_key(&caller) {
         harness.wait(millis(1));
@@ -58,9 +58,12 @@
 
 #[test]
 fn node_with_answer_delay_answers_earlier() {
-    let prompt = answered_after(&[]);
-    let slow = answered_after(&[millis(8); 50]);
-    assert!(slow + millis(12) < prompt, "{slow:?} and {prompt:?}");
+    let without_delay = answered_after(&[]);
+    let with_delay = answered_after(&[millis(8); 50]);
+    assert!(
+        with_delay + millis(12) < without_delay,
+        "{with_delay:?} and {without_delay:?}"
+    );
 }
 
 #[test]
--- a/crates/thornbridge-core/src/gateway/tests/grants.rs
+++ b/crates/thornbridge-core/src/gateway/tests/grants.rs
@@ -44,8 +44,8 @@
     // Both owners share the two attempts of the route.
     assert_eq!((task.prior_attempts, task.attempts), (0, 1));
     assert_eq!((second_task.prior_attempts, second_task.attempts), (1, 2));
-    let whole = report_of(&second_task, 0..second_task.shards.len(), b'1');
-    report(&mut harness, other, &second_task, whole);
+    let complete_report = report_of(&second_task, 0..second_task.shards.len(), b'1');
+    report(&mut harness, other, &second_task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
@@ -138,22 +138,22 @@
     let (mut harness, caller) = slice_with_two_silent_owners(millis(600));
     assert!(!harness.answers.contains_key(&caller));
     let (other, task) = harness.tasks[0].clone();
-    let whole = report_of(&task, 0..task.shards.len(), b'1');
-    report(&mut harness, other, &task, whole);
+    let complete_report = report_of(&task, 0..task.shards.len(), b'1');
+    report(&mut harness, other, &task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
 fn shards_of_lost_report_are_delegated_again() {
     let (mut harness, caller, owner, task) = gather_with_silent_owner();
-    let part = SliceReport {
+    let partial_report = SliceReport {
         finished: true,
         ..report_of(&task, 1..task.shards.len(), b'1')
     };
-    report(&mut harness, owner, &task, part);
+    report(&mut harness, owner, &task, partial_report);
     let (other, second_task) = harness.tasks[0].clone();
-    let whole = report_of(&second_task, 0..second_task.shards.len(), b'1');
-    report(&mut harness, other, &second_task, whole);
+    let complete_report = report_of(&second_task, 0..second_task.shards.len(), b'1');
+    report(&mut harness, other, &second_task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
@@ -161,8 +161,8 @@
 fn late_report_of_silent_owner_is_used() {
     let (mut harness, caller, silent, task) = gather_with_silent_owner();
     harness.wait(SILENCE_TIMEOUT);
-    let whole = report_of(&task, 0..task.shards.len(), b'1');
-    report(&mut harness, silent, &task, whole);
+    let complete_report = report_of(&task, 0..task.shards.len(), b'1');
+    report(&mut harness, silent, &task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
@@ -177,8 +177,8 @@
         &second_task,
         report_of(&second_task, 0..2, b'8'),
     );
-    let whole = report_of(&task, 0..task.shards.len(), b'9');
-    report(&mut harness, silent, &task, whole);
+    let complete_report = report_of(&task, 0..task.shards.len(), b'9');
+    report(&mut harness, silent, &task, complete_report);
     // Only the complete report counts.
     assert_eq!(missing_shards(&harness, caller), Some(0));
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
@@ -205,8 +205,8 @@
     let other = (1..=20).map(|number| peer(number).address);
     let other = other.into_iter().find(|address| *address != owner);
     let other = other.expect("another peer");
-    let whole = report_of(&task, 0..task.shards.len(), b'1');
-    report_and_request(&mut harness, other, &task, whole);
+    let complete_report = report_of(&task, 0..task.shards.len(), b'1');
+    report_and_request(&mut harness, other, &task, complete_report);
     assert!(grants(&harness, task.slice).is_empty());
     assert!(!harness.answers.contains_key(&caller));
 }
@@ -257,20 +257,20 @@
 /// A shard that servers rejected at its owner must be charged when the coordinator sends it again.
 #[test]
 fn rejected_shard_is_charged_to_coordinator_budget() {
-    let rejected = |extra_allowed: bool| {
+    let attempts_sent = |extra_allowed: bool| {
         let (mut harness, caller, owner, task) = gather_with_silent_owner();
         if !extra_allowed {
             harness.without_budget();
         }
-        let report_of_one = SliceReport {
+        let rejection = SliceReport {
             failed: vec![(0, ShardFailure::Rejected)],
             ..SliceReport::default()
         };
-        report(&mut harness, owner, &task, report_of_one);
+        report(&mut harness, owner, &task, rejection);
         harness.sent_for(caller).len()
     };
-    assert_eq!(rejected(true), 1);
-    assert_eq!(rejected(false), 0);
+    assert_eq!(attempts_sent(true), 1);
+    assert_eq!(attempts_sent(false), 0);
 }
 
 // Serving as an owner.
@@ -370,7 +370,7 @@
 
 #[test]
 fn coordinator_lends_within_its_budget() {
-    let lent_of = |harness: &Harness| -> usize {
+    let lent_count = |harness: &Harness| -> usize {
         let messages = harness.slice_messages.iter();
         let lent = messages.filter_map(|(_, message)| match message {
             SliceMessage::Grant { lent, .. } => Some(lent.len()),
@@ -382,14 +382,14 @@
     harness.ask("/search/1");
     let (owner, task) = harness.tasks[0].clone();
     report_and_request(&mut harness, owner, &task, empty_report());
-    assert_eq!(lent_of(&harness), 2 * task.shards.len());
+    assert_eq!(lent_count(&harness), 2 * task.shards.len());
 
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     harness.without_budget();
     harness.ask("/search/1");
     let (owner, task) = harness.tasks[0].clone();
     report_and_request(&mut harness, owner, &task, empty_report());
-    assert_eq!(lent_of(&harness), 0);
+    assert_eq!(lent_count(&harness), 0);
 }
 
 #[test]
@@ -405,7 +405,7 @@
         .into_iter()
         .flat_map(|report| report.failed);
     let mut failed: Vec<_> = failed.collect();
-    failed.sort_by_key(|(place, _)| *place);
+    failed.sort_by_key(|(index, _)| *index);
     assert_eq!(
         failed,
         [(0, ShardFailure::Rejected), (1, ShardFailure::Unsent)]
--- a/crates/thornbridge-core/src/gateway/tests/slice_support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slice_support.rs
@@ -66,8 +66,8 @@
 /// Sends a complete report for each task.
 pub fn report_all(harness: &mut Harness, tasks: &[(SocketAddr, SliceTask)]) {
     for (owner, task) in tasks {
-        let whole = report_of(task, 0..task.shards.len(), b'1');
-        report(harness, *owner, task, whole);
+        let complete_report = report_of(task, 0..task.shards.len(), b'1');
+        report(harness, *owner, task, complete_report);
     }
 }
 
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -36,8 +36,8 @@
     let caller = harness.ask("/search/1");
     let tasks = harness.tasks.clone();
     for (index, (owner, task)) in tasks.iter().enumerate() {
-        let whole = report_of(task, 0..task.shards.len(), index as u8);
-        report(&mut harness, *owner, task, whole);
+        let complete_report = report_of(task, 0..task.shards.len(), index as u8);
+        report(&mut harness, *owner, task, complete_report);
     }
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
         panic!("no answer for {caller:?}");
@@ -74,8 +74,8 @@
     harness.wait(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
     // With its grant, the owner may have sent the second attempts by now.
     let (address, task) = tasks[0].clone();
-    let part = report_of(&task, 0..1, b'1');
-    report_and_request(&mut harness, address, &task, part);
+    let partial_report = report_of(&task, 0..1, b'1');
+    report_and_request(&mut harness, address, &task, partial_report);
     harness.event(GatewayEvent::PeerLinkDown { address });
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), 0);
@@ -99,8 +99,8 @@
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 1);
     harness.reply(sent[0].attempt, answer(b"9999999999999999"));
-    let whole = report_of(&task, 0..task.shards.len(), b'1');
-    report(&mut harness, owner, &task, whole);
+    let complete_report = report_of(&task, 0..task.shards.len(), b'1');
+    report(&mut harness, owner, &task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
         panic!("no answer for {caller:?}");
@@ -146,8 +146,8 @@
     let tasks = harness.tasks.clone();
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = &tasks[0];
-    let part = report_of(task, 0..task.shards.len() - 1, b'1');
-    report(&mut harness, *owner, task, part);
+    let partial_report = report_of(task, 0..task.shards.len() - 1, b'1');
+    report(&mut harness, *owner, task, partial_report);
     harness.wait(millis(200));
     assert_eq!(missing_shards(&harness, caller), Some(1));
     assert_eq!(stops(&harness, task.slice), [SliceStop::Answered]);
@@ -314,9 +314,9 @@
         tasks[0].clone()
     };
     let (busy, task) = first_owner(&mut harness);
-    let mut whole = report_of(&task, 0..1, b'1');
-    whole.waiting = 1;
-    report(&mut harness, busy, &task, whole);
+    let mut partial_report = report_of(&task, 0..1, b'1');
+    partial_report.waiting = 1;
+    report(&mut harness, busy, &task, partial_report);
     let (other, _) = first_owner(&mut harness);
     assert_ne!(other, busy);
     // Shorter than the failure detection of peers that answer no probe.
