--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -90,7 +90,7 @@
         context.servers.remove_if_unused(server);
     }
 
-    /// Dispatches waiting parts on a new connection.
+    /// Serves the queue of a server after a connection opened.
     pub(in crate::gateway) fn connection_opened(
         &mut self,
         context: &mut Context<'_>,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Dispatches waiting parts on connections whose probation ended.
+    /// Serves the queues of servers with connections whose probation ended.
     pub(in crate::gateway) fn end_connection_probation(&mut self, context: &mut Context<'_>) {
         for server in context.servers.end_probation(context.now) {
             self.serve_queue(context, server);
@@ -130,7 +130,7 @@
         context.servers.remove_if_unused(server);
     }
 
-    /// Requeues the parts waiting for a server that accepts no new requests.
+    /// Moves the parts queued for a server that accepts no new requests to other servers.
     pub(in crate::gateway) fn server_unavailable(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/send_policy.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceTask;
 
-/// Interval between checks of a suspected request: news from peers triggers no check.
+/// Interval between checks of a suspected request; crash records from peers trigger no check.
 const SUSPECT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Minimum interval between checks of a request.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -28,7 +28,7 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceId;
 
-/// Decayed failures from which an owner is avoided; one failure lasts for one half-life.
+/// Decayed failures from which an owner is avoided; a single failure counts for one half-life.
 const AVOIDED_FAILURE_COUNT: f64 = 0.5;
 /// Longest suspension of division, in failure half-lives.
 const MAX_SUSPENSION_FACTOR: u32 = 4;
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Removes this node from the owners, because coordination is enough work.
+    /// Excludes this node, which already coordinates, from the owners unless it is the only one.
     fn exclude_self(&self, mut group: Group) -> Group {
         if group.owners.len() > 1 {
             group.owners.retain(|owner| *owner != self.own_address);
