--- a/crates/thornbridge-core/src/gateway/budget.rs
+++ b/crates/thornbridge-core/src/gateway/budget.rs
@@ -40,8 +40,8 @@
 
 /// Upper bound of the number of nodes that share the slack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sharers {
-    /// Seeds are configured, and no other member has been met.
+enum MemberBound {
+    /// Another node is configured as a seed, and no other member has been met.
     Unknown,
     /// Highest number of members seen at a time, this node included.
     AtMost(usize),
@@ -51,21 +51,20 @@
 #[derive(Debug)]
 pub(super) struct ExtraAttemptBudget {
     parameters: BudgetParameters,
-    sharers: Sharers,
+    member_bound: MemberBound,
     services: BTreeMap<ServiceKey, ServiceBudget>,
     /// Seed for the draws of shares below one attempt.
     seed: u64,
 }
 
 impl ExtraAttemptBudget {
-    /// Budgets without any request counted. `has_other_seeds`: whether a node other than this one is
-    /// configured as a seed.
+    /// `has_other_seeds`: whether a node other than this one is configured as a seed.
     pub(super) fn new(parameters: BudgetParameters, has_other_seeds: bool, seed: u64) -> Self {
         Self {
             seed,
-            sharers: match has_other_seeds {
-                true => Sharers::Unknown,
-                false => Sharers::AtMost(1),
+            member_bound: match has_other_seeds {
+                true => MemberBound::Unknown,
+                false => MemberBound::AtMost(1),
             },
             services: BTreeMap::new(),
             parameters,
@@ -82,26 +81,26 @@
 
     /// Updates the number of members, this node included, that share the slack.
     pub(super) fn set_members(&mut self, members: usize) {
-        self.sharers = match self.sharers {
-            Sharers::Unknown if members < 2 => Sharers::Unknown,
-            Sharers::Unknown => Sharers::AtMost(members),
-            Sharers::AtMost(highest) => Sharers::AtMost(highest.max(members)),
+        self.member_bound = match self.member_bound {
+            MemberBound::Unknown if members < 2 => MemberBound::Unknown,
+            MemberBound::Unknown => MemberBound::AtMost(members),
+            MemberBound::AtMost(highest) => MemberBound::AtMost(highest.max(members)),
         };
     }
 
     /// Number of members that the slack is divided by; `None` while unknown.
     pub(super) fn member_bound(&self) -> Option<usize> {
-        match self.sharers {
-            Sharers::Unknown => None,
-            Sharers::AtMost(members) => Some(members),
+        match self.member_bound {
+            MemberBound::Unknown => None,
+            MemberBound::AtMost(members) => Some(members),
         }
     }
 
     /// This node's share of the slack, in attempts per window.
     pub(super) fn slack_share(&self) -> f64 {
-        match self.sharers {
-            Sharers::Unknown => 0.0,
-            Sharers::AtMost(members) => self.parameters.slack / members as f64,
+        match self.member_bound {
+            MemberBound::Unknown => 0.0,
+            MemberBound::AtMost(members) => self.parameters.slack / members as f64,
         }
     }
 
@@ -135,13 +134,13 @@
     pub(super) fn allows(&mut self, now: Timestamp, service: ServiceKey) -> bool {
         let settling = self.is_settling(now);
         let slack = self.slack_allowance(service);
-        let (ratio, used) = (self.parameters.ratio, self.parameters.used_share);
+        let (ratio, used_share) = (self.parameters.ratio, self.parameters.used_share);
         let budget = self.budget(service);
         let earned = ratio * budget.requests.sum(now) as f64;
         let extra = budget.extra.sum(now) as f64;
         let limit = match settling {
-            true => (1.0 - used) * earned,
-            false => used * earned + slack,
+            true => (1.0 - used_share) * earned,
+            false => used_share * earned + slack,
         };
         extra + 1.0 <= limit
     }
--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -209,10 +209,10 @@
     pub gone_grace: Duration,
     /// Least `Retry-After` time of a refused caller.
     pub retry_after: Duration,
-    /// `Retry-After` time of a caller that cannot be served yet, as a share of its patience.
+    /// `Retry-After` time of a caller that cannot be served yet, as a share of the caller timeout.
     pub retry_after_share: f64,
-    /// Share of a caller's patience for which its request waits while no configuration or registry
-    /// is known.
+    /// Share of the caller timeout for which a request waits while no configuration or registry is
+    /// known.
     pub awaiting_share: f64,
     /// Time after startup in which missing servers may still register.
     pub settling: Duration,
@@ -374,7 +374,7 @@
     pub membership: crate::membership::MembershipParameters,
 }
 
-/// Staleness limit of views, as a share of the shortest time in which a change must be in force.
+/// Staleness limit of views, as a share of the shortest time within which a change must take effect.
 const STALENESS_SHARE: f64 = 0.6;
 /// Wait of a watch, as a share of the staleness limit.
 const WATCH_SHARE: f64 = 0.25;
@@ -396,17 +396,20 @@
 
     /// Derives view and server parameters from the operator's bounds.
     ///
-    /// `in_force` is the time in which a configuration must be in force; `drain` and `evacuation` are
-    /// the times after which leaving servers and servers of evacuated zones must get no requests.
+    /// `activation` is the time within which a new configuration must be active; `drain` and
+    /// `evacuation` are the times after which leaving servers and servers of evacuated zones must get
+    /// no requests.
     pub fn apply_operator_bounds(
         &mut self,
-        in_force: Duration,
+        activation: Duration,
         drain: Duration,
         evacuation: Option<Duration>,
     ) {
-        let least = in_force.min(drain).min(evacuation.unwrap_or(Duration::MAX));
+        let shortest = activation
+            .min(drain)
+            .min(evacuation.unwrap_or(Duration::MAX));
         self.views.evacuations = evacuation.is_some();
-        let limit = least.mul_f64(STALENESS_SHARE);
+        let limit = shortest.mul_f64(STALENESS_SHARE);
         self.views.staleness_limit = limit;
         self.views.watch_wait = limit.mul_f64(WATCH_SHARE);
         self.views.poll_interval = limit.mul_f64(POLL_SHARE);
--- a/crates/thornbridge-core/src/gateway/staging.rs
+++ b/crates/thornbridge-core/src/gateway/staging.rs
@@ -1,4 +1,4 @@
-//! Staging of a configuration that is known but not yet in force.
+//! Staging of a configuration that is known but not yet active.
 //!
 //! A configuration with new shards is staged until a connection to each of them is open, or a
 //! timeout has passed, so that the first requests need not wait for connections. A version is
@@ -17,14 +17,14 @@
     pub(super) since: Timestamp,
 }
 
-/// Holder of the newest configuration that is not yet in force.
+/// Holder of the newest configuration that is not yet active.
 #[derive(Debug, Default)]
 pub(super) struct Staging {
     staged: Option<Staged>,
 }
 
 impl Staging {
-    /// Stages a configuration that is newer than the one in force, unless a newer one is staged.
+    /// Stages a configuration that is newer than the active one, unless a newer one is staged.
     ///
     /// The staging time of a replaced version is kept, so that rapid updates cannot postpone
     /// activation forever.
