--- a/crates/thornbridge-core/src/gossip/transmission_queue.rs
+++ b/crates/thornbridge-core/src/gossip/transmission_queue.rs
@@ -10,7 +10,7 @@
     Leaving,
     /// A state that determines where work is sent.
     State,
-    /// A suspicion or vote, which alone may not change where work is sent.
+    /// A suspicion or vote, which does not by itself determine where work is sent.
     Unconfirmed,
     /// A description of a member or back end.
     Metadata,
--- a/crates/thornbridge-core/src/health/mod.rs
+++ b/crates/thornbridge-core/src/health/mod.rs
@@ -48,7 +48,7 @@
     facts: Facts,
     /// Set while this node is assigned to probe the back end.
     probe_state: Option<ProbeState>,
-    hold: LeavingHold,
+    leaving_hold: LeavingHold,
     readiness_rate_limit: PublishRateLimit,
     snapshots_rate_limit: PublishRateLimit,
 }
@@ -222,7 +222,7 @@
             address: back_end.address,
             zone: back_end.zone.clone(),
             probe_state: None,
-            hold: LeavingHold::default(),
+            leaving_hold: LeavingHold::default(),
             readiness_rate_limit: PublishRateLimit::default(),
             snapshots_rate_limit: PublishRateLimit::default(),
         }
@@ -244,13 +244,13 @@
     /// Starts, keeps or ends the hold-down of a leaving back end.
     fn update_leaving_hold(&mut self, now: Timestamp, readiness: Readiness) {
         match readiness {
-            Readiness::Leaving => self.hold.leaving_reported(now),
-            Readiness::Ready | Readiness::Cold => self.hold.reset(),
+            Readiness::Leaving => self.leaving_hold.leaving_reported(now),
+            Readiness::Ready | Readiness::Cold => self.leaving_hold.reset(),
         }
     }
 
     /// Whether to accept and publish a report of readiness.
     fn accepts_ready(&mut self, parameters: &HealthParameters, now: Timestamp) -> bool {
-        self.hold.accepts_ready(parameters, now) && self.readiness_rate_limit.allows(now)
+        self.leaving_hold.accepts_ready(parameters, now) && self.readiness_rate_limit.allows(now)
     }
 }
--- a/crates/thornbridge-core/src/health/probing.rs
+++ b/crates/thornbridge-core/src/health/probing.rs
@@ -186,7 +186,7 @@
         let Some(monitored) = self.back_ends.get_mut(&key) else {
             return;
         };
-        monitored.hold.record_unreachable();
+        monitored.leaving_hold.record_unreachable();
         if !monitored.facts.is_unreachable_from(own) {
             self.counters.unreachable += 1;
             self.publish(context, key, HealthFact::Unreachable(true));
--- a/crates/thornbridge-core/src/limits/service.rs
+++ b/crates/thornbridge-core/src/limits/service.rs
@@ -30,6 +30,7 @@
     pub expected_latency: Duration,
 }
 
+/// Admission state of one service.
 #[derive(Debug)]
 pub(super) struct ServiceAdmission {
     priority: u8,
@@ -40,8 +41,10 @@
     queue: RequestQueue,
     in_flight: u32,
     expected_latency: Duration,
+    /// Earliest next start under pacing.
     next_start: Timestamp,
     pacing_timer: Option<Timestamp>,
+    /// Whether the service was removed from the configuration.
     retired: bool,
     pub(super) extra_load: ExtraLoadBudget,
 }
--- a/crates/thornbridge-core/src/limits/tests/admission.rs
+++ b/crates/thornbridge-core/src/limits/tests/admission.rs
@@ -99,18 +99,18 @@
 enum Step {
     Arrive {
         service: usize,
-        deadline: u64,
+        deadline_ms: u64,
     },
     Finish {
-        which: usize,
-        millis: u64,
+        index: usize,
+        latency_ms: u64,
         overloaded: bool,
     },
     Cancel {
-        which: usize,
+        index: usize,
     },
     Advance {
-        micros: u64,
+        duration_us: u64,
     },
     Reconfigure {
         in_flight: u32,
@@ -121,11 +121,11 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..3usize, 0..200u64)
-            .prop_map(|(service, deadline)| Step::Arrive { service, deadline }),
+            .prop_map(|(service, deadline_ms)| Step::Arrive { service, deadline_ms }),
         4 => (any::<usize>(), 1..50u64, any::<bool>())
-            .prop_map(|(which, millis, overloaded)| Step::Finish { which, millis, overloaded }),
-        1 => any::<usize>().prop_map(|which| Step::Cancel { which }),
-        3 => (0..30_000u64).prop_map(|micros| Step::Advance { micros }),
+            .prop_map(|(index, latency_ms, overloaded)| Step::Finish { index, latency_ms, overloaded }),
+        1 => any::<usize>().prop_map(|index| Step::Cancel { index }),
+        3 => (0..30_000u64).prop_map(|duration_us| Step::Advance { duration_us }),
         1 => (1..5u32, 0..10u32)
             .prop_map(|(in_flight, queued)| Step::Reconfigure { in_flight, queued }),
     ]
@@ -167,22 +167,25 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Arrive { service, deadline } => self.arrive(service, deadline),
+            Step::Arrive {
+                service,
+                deadline_ms,
+            } => self.arrive(service, deadline_ms),
             Step::Finish {
-                which,
-                millis,
+                index,
+                latency_ms,
                 overloaded,
             } => {
                 let running: Vec<RequestId> = self.running.keys().copied().collect();
                 if !running.is_empty() {
-                    self.finish(running[which % running.len()], millis, overloaded);
+                    self.finish(running[index % running.len()], latency_ms, overloaded);
                 }
             }
-            Step::Cancel { which } => {
+            Step::Cancel { index } => {
                 let queued_requests: Vec<RequestId> =
                     self.queued_requests.keys().copied().collect();
                 if !queued_requests.is_empty() {
-                    let request = queued_requests[which % queued_requests.len()];
+                    let request = queued_requests[index % queued_requests.len()];
                     let (service, _) = self.queued_requests.remove(&request).unwrap();
                     assert!(
                         self.limits
@@ -190,7 +193,7 @@
                     );
                 }
             }
-            Step::Advance { micros } => self.advance(Duration::from_micros(micros)),
+            Step::Advance { duration_us } => self.advance(Duration::from_micros(duration_us)),
             Step::Reconfigure { in_flight, queued } => {
                 self.maximum_in_flight = in_flight as usize;
                 let in_force = in_force(bundle(in_flight, queued));
@@ -201,18 +204,18 @@
         self.check();
     }
 
-    fn arrive(&mut self, service: usize, deadline: u64) {
+    fn arrive(&mut self, service: usize, deadline_ms: u64) {
         self.last_request += 1;
         let id = request(self.last_request);
-        let deadline = self.clock.now + Duration::from_millis(deadline);
+        let deadline = self.clock.now + Duration::from_millis(deadline_ms);
         let name: ServiceName = SERVICES[service].into();
-        let admission = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             service: &name,
             request: id,
             deadline,
             predicted_run_time: None,
         };
-        match self.limits.admit(&self.clock.context(), admission) {
+        match self.limits.admit(&self.clock.context(), admission_request) {
             Admission::Run => {
                 assert!(
                     !self.has_queued(service),
@@ -230,9 +233,9 @@
         }
     }
 
-    fn finish(&mut self, request: RequestId, millis: u64, overloaded: bool) {
+    fn finish(&mut self, request: RequestId, latency_ms: u64, overloaded: bool) {
         let service = self.running.remove(&request).unwrap();
-        let latency = Duration::from_millis(millis);
+        let latency = Duration::from_millis(latency_ms);
         let outcome = RequestOutcome {
             latency,
             half_response_latency: Some(latency),
--- a/crates/thornbridge-core/src/limits/tests/overload.rs
+++ b/crates/thornbridge-core/src/limits/tests/overload.rs
@@ -17,10 +17,11 @@
     busy_slots: usize,
     /// Requests in slots: end, node, sequence, start.
     completions: BinaryHeap<Reverse<(u64, usize, u64, u64)>>,
-    deadlines: BTreeMap<RequestId, u64>,
+    deadlines_us: BTreeMap<RequestId, u64>,
     in_time: u64,
     late: u64,
     refused: u64,
+    /// Requests that expired in a node's queue.
     expired: u64,
 }
 
@@ -38,7 +39,7 @@
             server_queue: Default::default(),
             busy_slots: 0,
             completions: BinaryHeap::new(),
-            deadlines: BTreeMap::new(),
+            deadlines_us: BTreeMap::new(),
             in_time: 0,
             late: 0,
             refused: 0,
@@ -63,9 +64,9 @@
     }
 
     fn arrive(&mut self, node: usize, now: u64) {
-        let id = request(self.deadlines.len() as u64 + 1);
+        let id = request(self.deadlines_us.len() as u64 + 1);
         let deadline = now + 10 * SERVICE_TIME_US;
-        self.deadlines.insert(id, deadline);
+        self.deadlines_us.insert(id, deadline);
         let name = SERVICES[0].into();
         let admission_request = AdmissionRequest {
             service: &name,
@@ -120,7 +121,7 @@
             self.completions
                 .push(Reverse((end, node, request.sequence, start)));
         }
-        let in_time = now <= self.deadlines[&request(sequence)];
+        let in_time = now <= self.deadlines_us[&request(sequence)];
         self.in_time += u64::from(in_time);
         self.late += u64::from(!in_time);
         let latency = Duration::from_micros(now - started);
--- a/crates/thornbridge-core/src/membership/mod.rs
+++ b/crates/thornbridge-core/src/membership/mod.rs
@@ -131,11 +131,11 @@
     /// stale, so it only provides addresses to join through.
     pub fn machine_list_due(&mut self, context: &mut Context<'_>) -> bool {
         let random = &mut *context.random;
-        let wanted = self
+        let due = self
             .joining
             .machine_list_due(&self.parameters, context.now, random);
-        self.counters.machine_lists_wanted += u64::from(wanted);
-        wanted
+        self.counters.machine_lists_wanted += u64::from(due);
+        due
     }
 
     /// Handles the platform's list of machines.
