--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -100,14 +100,14 @@
             }
             AcquireOutcome::Pending => {
                 let expected = self.expected_latency(context, request, server);
-                let waiting = QueuedPart {
+                let queued = QueuedPart {
                     caller: request.caller,
                     part: index,
                     send_by: request.soft_deadline - expected,
                     deadline: request.deadline,
                 };
                 if let Some(server) = context.servers.get_mut(server) {
-                    server.queue.push(waiting);
+                    server.queue.push(queued);
                 }
                 let wait = self.hedge_delay(context, request, server);
                 let part = &mut request.parts[index];
@@ -277,10 +277,10 @@
             if accepts_requests && server.idle.is_empty() {
                 return;
             }
-            let Some(waiting) = context.servers.dequeue(context.now, key) else {
+            let Some(queued) = context.servers.dequeue(context.now, key) else {
                 return;
             };
-            self.serve_queued_part(context, key, waiting, accepts_requests);
+            self.serve_queued_part(context, key, queued, accepts_requests);
         }
     }
 
@@ -288,20 +288,20 @@
         &mut self,
         context: &mut Context<'_>,
         key: ServerKey,
-        waiting: QueuedPart,
+        queued: QueuedPart,
         server_accepts: bool,
     ) {
-        let Some(mut request) = self.requests.remove(&waiting.caller) else {
+        let Some(mut request) = self.requests.remove(&queued.caller) else {
             return;
         };
-        let state = &request.parts[waiting.part].state;
+        let state = &request.parts[queued.part].state;
         if let PartState::Queued(server, cause) = *state
             && server == key
         {
             self.dispatch_queued(
                 context,
                 &mut request,
-                waiting.part,
+                queued.part,
                 key,
                 cause,
                 server_accepts,
@@ -340,11 +340,11 @@
     /// Moves the parts queued for a server that is leaving or unreachable to other servers.
     pub(super) fn reassign_queued(&mut self, context: &mut Context<'_>, key: ServerKey) {
         let mut displaced = Vec::new();
-        while let Some(waiting) = context.servers.dequeue(context.now, key) {
-            displaced.push(waiting);
+        while let Some(queued) = context.servers.dequeue(context.now, key) {
+            displaced.push(queued);
         }
-        for waiting in displaced {
-            self.serve_queued_part(context, key, waiting, false);
+        for queued in displaced {
+            self.serve_queued_part(context, key, queued, false);
         }
     }
 }
--- a/crates/thornbridge-core/src/gateway/exchange/part.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/part.rs
@@ -29,7 +29,7 @@
     AnsweredByOwner(Bytes),
     /// Waits for the coordinator to grant another attempt.
     AwaitingGrant,
-    /// No attempt is left.
+    /// No attempt remains.
     Failed,
 }
 
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -86,10 +86,10 @@
                 .since(delegation.sent_at)
                 .saturating_sub(elapsed);
             context.slices.owner_answered(sender.owner, overhead);
-            let waiting = f64::from(report.waiting);
+            let queued_parts = f64::from(report.waiting);
             context
                 .slices
-                .observe_owner_queue(context.now, sender.owner, waiting);
+                .observe_owner_queue(context.now, sender.owner, queued_parts);
         }
         delegation.outcome = match report.finished {
             true => SliceOutcome::Finished,
--- a/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Delegates a slice again if its owners are silent and attempts are left. When most owners are
+    /// Delegates a slice again if its owners are silent and attempts remain. When most owners are
     /// silent this node may be partitioned, and serves the shards itself.
     fn redelegate(&mut self, context: &mut Context<'_>, request: &mut Request, index: usize) {
         let slice = &request.slices[index];
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -328,11 +328,11 @@
             .unwrap_or(u64::MAX),
         ..SliceReport::default()
     };
-    let waiting = request
+    let queued = request
         .parts
         .iter()
         .filter(|part| part.queued_at().is_some());
-    report.waiting = waiting.count() as u16;
+    report.waiting = queued.count() as u16;
     let mut bodies: Vec<&Bytes> = Vec::new();
     for (position, part) in request.parts.iter().enumerate() {
         if part.reported || !(part.is_finished() || finished) {
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -206,12 +206,12 @@
         owners: impl Iterator<Item = &'a SocketAddr>,
     ) -> Option<&'a SocketAddr> {
         let mut owners = owners.map(|owner| (self.queued_parts(now, owner), owner));
-        let (waiting, first) = owners.next()?;
-        if waiting < BUSY_OWNER_PARTS {
+        let (queue_length, first) = owners.next()?;
+        if queue_length < BUSY_OWNER_PARTS {
             return Some(first);
         }
         let shortest = owners.min_by(|(left, _), (right, _)| left.total_cmp(right));
-        let shortest = shortest.filter(|(other, _)| *other < waiting);
+        let shortest = shortest.filter(|(other, _)| *other < queue_length);
         Some(shortest.map_or(first, |(_, owner)| owner))
     }
 
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served yet: refusal of first tries, waiting of callers' retries.
+//! Requests that cannot be served yet: first tries are refused, retries are kept.
 
 use super::support::{
     Harness, answer_all, configuration, gather, instance, millis, route, service, verdict,
