--- a/crates/thornbridge-core/src/gateway/views/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/views/freshness.rs
@@ -2,8 +2,8 @@
 //!
 //! Calls to the store are billed, and a change wakes every watch. Only the member of rank 0, the
 //! first in the member list, reads continuously. The others follow: peers send them changes, and
-//! report how long ago the store confirmed a view. If the reader is partitioned or the store does
-//! not answer, a member whose views stay unconfirmed reads the store itself, lower ranks first.
+//! report how long ago the store confirmed the views. If no confirmation arrives, since the reader
+//! failed or is partitioned, the followers begin to read the store themselves, lower ranks first.
 
 use super::gossip::is_behind;
 use crate::time::Timestamp;
--- a/crates/thornbridge-core/src/gateway/views/gossip.rs
+++ b/crates/thornbridge-core/src/gateway/views/gossip.rs
@@ -18,7 +18,7 @@
 use thornbridge_proto::peer::PeerMessage;
 use thornbridge_proto::peer::view::{StoreRevision, ViewDigest, ViewMessage};
 
-/// Age difference above which a node replies to a digest of equal but staler views.
+/// Age difference from which a node replies to a digest of staler views.
 const MIN_AGE_ADVANTAGE: Duration = Duration::from_millis(50);
 /// Delay before the first retry of a pull; doubled with each retry.
 const PULL_RETRY_BACKOFF: Duration = Duration::from_millis(400);
@@ -26,11 +26,11 @@
 const MAX_DOUBLINGS: u32 = 3;
 /// Delay before a pull from a polled remote peer: a local peer may announce the change meanwhile.
 const REMOTE_PULL_DELAY: Duration = Duration::from_millis(250);
-/// Delay before a pull from a polled remote peer while a view is missing altogether.
+/// Delay before a pull from a polled remote peer until every view has been received once.
 const INITIAL_REMOTE_PULL_DELAY: Duration = Duration::from_millis(700);
-/// Time between pulls from random peers while a view is missing altogether.
+/// Time between pulls from random peers until every view has been received once.
 const INITIAL_PULL_INTERVAL: Duration = Duration::from_millis(200);
-/// Random draws of a peer of which one may leave the zone.
+/// One in this many random peers is drawn from all zones instead of this node's zone.
 const DRAWS_PER_REMOTE_PEER: u32 = 8;
 
 /// Peer with newer views, and the next pull from it.
@@ -56,7 +56,7 @@
     confirmed_at_last_poll: Option<Timestamp>,
     next_digest: Timestamp,
     pull_target: Option<PullTarget>,
-    /// Next pull from a random peer while a view is missing altogether.
+    /// Next pull from a random peer until every view has been received once.
     next_initial_pull: Timestamp,
     /// Random draws of a peer so far.
     draws: u32,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Sends a digest to the current poll target; moves on to the next target if the previous poll
-    /// brought no newer confirmation.
+    /// Sends a digest to the current poll target, or to the next one if no newer confirmation arrived
+    /// since the previous poll.
     fn poll(&mut self, actions: &mut VecDeque<GatewayAction>, own: ViewStatus) {
         if own.confirmed_at <= self.confirmed_at_last_poll {
             self.poll_index += 1;
@@ -201,7 +201,7 @@
         actions.push_back(send(peer, ViewMessage::Pull(own)));
     }
 
-    /// Whether a view is missing altogether and no pull target can be used right away.
+    /// Whether a view was never received and no pull target can be used right away.
     fn needs_initial_pull(&self, own: ViewDigest) -> bool {
         let target_is_deferred =
             |target: &PullTarget| target.pulls == 0 && !self.peers.is_nearest(target.peer);
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -20,13 +20,13 @@
 const MAX_DOUBLINGS: u32 = 8;
 /// Consecutive failures after which the timeout of a list is doubled.
 const FAILURES_PER_TIMEOUT_DOUBLING: u32 = 6;
-/// Minimum share of the backoff before the first list. Wide jitter spreads the reads of nodes that
-/// started together, so that one soon finds the store available again.
+/// Minimum jitter factor of the backoff before the first list. A wide range spreads the reads of
+/// nodes that started together, so that one of them soon reaches a store that is available again.
 const MIN_INITIAL_BACKOFF_SHARE: f64 = 0.1;
-/// Minimum share of the backoff after the first list.
+/// Minimum jitter factor of the backoff after the first list.
 const MIN_BACKOFF_SHARE: f64 = 0.5;
-/// Ranks in the reader order that add one base backoff. Failed calls are billed too, and one
-/// successful reader updates the others.
+/// Ranks in the reader order per additional base backoff. Failed calls are billed too, and a single
+/// successful reader updates the other members.
 const RANKS_PER_BACKOFF_UNIT: f64 = 8.0;
 
 /// State of a reader, with the time at which it ends.
@@ -127,7 +127,7 @@
             return;
         }
         self.revision = self.revision.max(known);
-        self.start(now, actions);
+        self.start_read(now, actions);
     }
 
     /// When the store last confirmed the view.
@@ -158,9 +158,9 @@
         actions: &mut VecDeque<GatewayAction>,
     ) {
         match self.state {
-            ReaderState::Pausing(until) if until <= now => self.start(now, actions),
+            ReaderState::Pausing(until) if until <= now => self.start_read(now, actions),
             ReaderState::Listing(until) | ReaderState::Watching(until) if until <= now => {
-                self.failed(now, random, actions, SourceFailure::Unreachable);
+                self.read_failed(now, random, actions, SourceFailure::Unreachable);
             }
             _ => {}
         }
@@ -184,24 +184,24 @@
         }
         match result {
             Ok(reply) => {
-                self.answered(now, actions);
+                self.read_answered(now, actions);
                 let update = self.apply_reply(now, reply);
                 match &update {
                     Some(SourceUpdate::Changes(objects, _)) if !objects.is_empty() => {
                         self.state = ReaderState::Pausing(now + self.parameters.coalescing);
                     }
-                    _ => self.start(now, actions),
+                    _ => self.start_read(now, actions),
                 }
                 update
             }
             Err(SourceFailure::HistoryCompacted) => {
-                self.answered(now, actions);
+                self.read_answered(now, actions);
                 self.revision = None;
-                self.start(now, actions);
+                self.start_read(now, actions);
                 None
             }
             Err(failure) => {
-                self.failed(now, random, actions, failure);
+                self.read_failed(now, random, actions, failure);
                 None
             }
         }
@@ -242,7 +242,7 @@
         }
     }
 
-    fn start(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
+    fn start_read(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
         // A list in progress is completed: no peer may have the view yet.
         if self.following && self.page_cursor.is_none() {
             self.state = ReaderState::Following;
@@ -274,7 +274,7 @@
         });
     }
 
-    fn answered(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
+    fn read_answered(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
         if !self.reachable {
             self.report_reachability(now, actions, true, None);
         }
@@ -283,7 +283,7 @@
         self.last_answer_at = now;
     }
 
-    fn failed(
+    fn read_failed(
         &mut self,
         now: Timestamp,
         random: &mut Pcg64Mcg,
@@ -321,7 +321,7 @@
         pause.mul_f64(1.0 + self.rank as f64 / RANKS_PER_BACKOFF_UNIT)
     }
 
-    /// Lower bound of the jitter.
+    /// Minimum jitter factor.
     fn min_backoff_share(&self) -> f64 {
         match self.revision {
             None => MIN_INITIAL_BACKOFF_SHARE,
