--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -19,7 +19,7 @@
 pub struct RequestHead {
     /// Request identity set by the caller; forwarded unchanged.
     pub id: Option<String>,
-    /// Hash of the request that is the same when the caller retries it.
+    /// Hash of the request that is the same for all tries by the caller.
     pub fingerprint: Fingerprint,
     /// Host in lower case, without port.
     pub host: String,
@@ -227,7 +227,7 @@
     /// Measured delay between deciding on an answer and writing it.
     AnswerDelayed {
         /// Delay.
-        by: Duration,
+        delay: Duration,
     },
     /// The gateway starts; must be the first event.
     Started,
@@ -314,6 +314,6 @@
     /// The process was suspended.
     Paused {
         /// Length of the suspension.
-        by: Duration,
+        duration: Duration,
     },
 }
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -210,22 +210,22 @@
         retry_after: Option<Duration>,
     ) {
         let progress = request.progress();
-        let mut notable = request.attempt_summaries.clone();
-        self.add_unfinished_attempts(context, request, &mut notable);
+        let mut notable_attempts = request.attempt_summaries.clone();
+        self.add_unfinished_attempts(context, request, &mut notable_attempts);
         let summary = RequestSummary {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
             route: request.route.route.name.clone(),
             version: request.route.version,
             registry: context.registry,
-            took: context.now.since(request.arrived),
-            objective: request.soft_deadline.since(request.arrived),
-            parts: progress.answered,
-            of: progress.total,
+            duration: context.now.since(request.arrived),
+            answer_due: request.soft_deadline.since(request.arrived),
+            parts_answered: progress.answered,
+            parts_requested: progress.total,
             outcome,
-            notable,
-            attempts: request.parts.iter().map(|part| part.sent as usize).sum(),
-            denied: request.budget_denials,
+            notable_attempts,
+            attempts_sent: request.parts.iter().map(|part| part.sent as usize).sum(),
+            extra_attempts_denied: request.budget_denials,
             caller_try: request.caller_try,
             retry_after,
             coordinator: request.coordinator(),
@@ -238,7 +238,7 @@
         &self,
         context: &Context<'_>,
         request: &Request,
-        notable: &mut Vec<AttemptSummary>,
+        notable_attempts: &mut Vec<AttemptSummary>,
     ) {
         let unanswered = request.parts.iter().filter(|part| !part.is_answered());
         let queued = unanswered.clone().filter_map(|part| part.queued_at());
@@ -246,12 +246,12 @@
             let Some(server) = context.servers.get(server) else {
                 continue;
             };
-            notable.push(AttemptSummary {
+            notable_attempts.push(AttemptSummary {
                 server: server.id.clone(),
                 sent_after: context.now.since(request.arrived),
                 cause,
                 outcome: AttemptOutcome::Waiting,
-                took: None,
+                duration: None,
             });
         }
         for attempt in unanswered.flat_map(|part| &part.in_flight) {
@@ -261,12 +261,12 @@
             let Some(server) = context.servers.get(record.target.server) else {
                 continue;
             };
-            notable.push(AttemptSummary {
+            notable_attempts.push(AttemptSummary {
                 server: server.id.clone(),
                 sent_after: record.sent.since(request.arrived),
                 cause: record.cause,
                 outcome: AttemptOutcome::Open,
-                took: None,
+                duration: None,
             });
         }
     }
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -387,6 +387,6 @@
         sent_after: record.sent.since(request.arrived),
         cause: record.cause,
         outcome,
-        took: Some(context.now.since(record.sent)),
+        duration: Some(context.now.since(record.sent)),
     });
 }
--- a/crates/thornbridge-core/src/gateway/exchange/slice.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice.rs
@@ -150,7 +150,7 @@
         let delegations = self.delegations.iter();
         delegations.map(move |delegation| SliceSummary {
             owner: delegation.owner,
-            asked_after: delegation.sent_at.since(arrived),
+            requested_after: delegation.sent_at.since(arrived),
             outcome: delegation.outcome,
         })
     }
--- a/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_coordinator.rs
@@ -239,13 +239,13 @@
 }
 
 fn suspend_division(context: &mut Context<'_>, request: &Request) {
-    let Some(lasts) = context.slices.suspend_division(context.now) else {
+    let Some(duration) = context.slices.suspend_division(context.now) else {
         return;
     };
     let change = GatewayChange::OwnersSilent {
         silent: request.slices_with_silent_owner(),
         slices: request.slices.len(),
-        lasts,
+        duration,
     };
     context.actions.push_back(GatewayAction::Changed(change));
 }
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -37,7 +37,7 @@
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.caller_gone(&mut context, caller);
             }
-            GatewayEvent::AnswerDelayed { by } => self.exchanges.observe_answer_delay(by),
+            GatewayEvent::AnswerDelayed { delay } => self.exchanges.observe_answer_delay(delay),
             GatewayEvent::ConnectionOpened { connection, took } => {
                 let (exchanges, mut context) = self.exchanges();
                 exchanges.connection_opened(&mut context, connection, took);
@@ -339,7 +339,7 @@
             caller_try,
             waited,
         } = refusal;
-        let mut note = RequestSummary::unstarted(
+        let mut summary = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             String::new(),
@@ -347,9 +347,9 @@
             self.registry.revision().unwrap_or_default(),
             reason,
         );
-        note.took = waited;
-        let note = note.with_retry(caller_try, retry_after);
-        self.actions.push_back(GatewayAction::Finished(note));
+        summary.duration = waited;
+        let summary = summary.with_retry(caller_try, retry_after);
+        self.actions.push_back(GatewayAction::Finished(summary));
         let answer = GatewayAnswer::Refused {
             reason,
             status,
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -42,9 +42,9 @@
     fn update_budget_members(&mut self, members: usize) {
         let before = self.budget.member_bound();
         self.budget.set_members(members);
-        let sharers = self.budget.member_bound();
-        if sharers != before {
-            let change = GatewayChange::BudgetMembers { sharers };
+        let members = self.budget.member_bound();
+        if members != before {
+            let change = GatewayChange::BudgetMembers { members };
             self.actions.push_back(GatewayAction::Changed(change));
         }
     }
--- a/crates/thornbridge-core/src/gateway/telemetry.rs
+++ b/crates/thornbridge-core/src/gateway/telemetry.rs
@@ -22,7 +22,7 @@
     /// Outcome.
     pub outcome: AttemptOutcome,
     /// Time from sending until the outcome; `None` if still open.
-    pub took: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 /// Why an attempt was made.
@@ -121,7 +121,7 @@
     /// Slice owner.
     pub owner: SocketAddr,
     /// Time from arrival of the request until the task was sent.
-    pub asked_after: Duration,
+    pub requested_after: Duration,
     /// State when the request ended.
     pub outcome: SliceOutcome,
 }
@@ -131,7 +131,7 @@
 pub struct RequestSummary {
     /// Request identity set by the caller.
     pub id: String,
-    /// Hash of the request that is the same when the caller retries it.
+    /// Hash of the request that is the same for all tries by the caller.
     pub fingerprint: Fingerprint,
     /// Route; empty if none matched.
     pub route: String,
@@ -140,22 +140,22 @@
     /// Registry revision when the request ended.
     pub registry: StoreRevision,
     /// Time from arrival until the answer.
-    pub took: Duration,
+    pub duration: Duration,
     /// Time from arrival by which the answer was due.
-    pub objective: Duration,
-    /// Parts that were answered.
-    pub parts: usize,
-    /// Parts of the request: one, or one per shard of a gather.
-    pub of: usize,
+    pub answer_due: Duration,
+    /// Number of parts that were answered.
+    pub parts_answered: usize,
+    /// Number of parts: one, or one per shard of a gather.
+    pub parts_requested: usize,
     /// Outcome label.
     pub outcome: &'static str,
     /// Extra attempts, and first attempts that did not succeed.
-    pub notable: Vec<AttemptSummary>,
+    pub notable_attempts: Vec<AttemptSummary>,
     /// Number of attempts sent.
-    pub attempts: usize,
+    pub attempts_sent: usize,
     /// Number of extra attempts denied by the budget.
-    pub denied: usize,
-    /// Whether the request was inferred to be a retry by its caller.
+    pub extra_attempts_denied: usize,
+    /// Whether the request is its caller's first try or a retry.
     pub caller_try: CallerTry,
     /// Time after which a refused caller may retry.
     pub retry_after: Option<Duration>,
@@ -181,14 +181,14 @@
             route,
             version,
             registry,
-            took: Duration::ZERO,
-            objective: Duration::ZERO,
-            parts: 0,
-            of: 0,
+            duration: Duration::ZERO,
+            answer_due: Duration::ZERO,
+            parts_answered: 0,
+            parts_requested: 0,
             outcome: reason.as_str(),
-            notable: Vec::new(),
-            attempts: 0,
-            denied: 0,
+            notable_attempts: Vec::new(),
+            attempts_sent: 0,
+            extra_attempts_denied: 0,
             caller_try: CallerTry::Unknown,
             retry_after: None,
             coordinator: None,
@@ -318,7 +318,7 @@
         /// Number of slices of the gather.
         slices: usize,
         /// How long gathers are not sliced.
-        lasts: Duration,
+        duration: Duration,
     },
     /// A request was suspected of crashing servers, quarantined or cleared.
     Quarantine {
@@ -339,7 +339,7 @@
     /// The number of nodes among which the budget slack is divided changed.
     BudgetMembers {
         /// Number of nodes; `None` while unknown.
-        sharers: Option<usize>,
+        members: Option<usize>,
     },
     /// The lifecycle state of this node changed.
     Lifecycle {
--- a/crates/thornbridge-core/src/gateway/tests/delays.rs
+++ b/crates/thornbridge-core/src/gateway/tests/delays.rs
@@ -40,7 +40,7 @@
     )];
     let mut harness = Harness::serving(routes, &[("i-1", "a"), ("i-2", "b")]);
     for delay in delays {
-        harness.event(GatewayEvent::AnswerDelayed { by: *delay });
+        harness.event(GatewayEvent::AnswerDelayed { delay: *delay });
     }
     let started = harness.now;
     let caller = harness.ask("/all/x");
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -264,7 +264,9 @@
 #[test]
 fn slice_is_refused_after_process_pause() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    harness.event(GatewayEvent::Paused { by: millis(1_500) });
+    harness.event(GatewayEvent::Paused {
+        duration: millis(1_500),
+    });
     receive_task(&mut harness, task(&["shard-1"], 0));
     assert!(reports(&harness)[0].refused);
     assert!(harness.sent.is_empty());
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -151,8 +151,8 @@
                 _ = sweep.tick() => self.peers.sweep(),
             }
             self.clock.catch_up();
-            if let Some(by) = pauses.wake(self.clock.now()) {
-                self.handle(GatewayEvent::Paused { by });
+            if let Some(duration) = pauses.wake(self.clock.now()) {
+                self.handle(GatewayEvent::Paused { duration });
             }
             for input in batch.drain(..) {
                 self.take(input);
@@ -244,8 +244,8 @@
     }
 
     fn settle(&mut self) {
-        if let Some(by) = self.outlets.delays.take() {
-            self.handle(GatewayEvent::AnswerDelayed { by });
+        if let Some(delay) = self.outlets.delays.take() {
+            self.handle(GatewayEvent::AnswerDelayed { delay });
         }
         let due = self.gateway.next_timeout();
         if due.is_some_and(|due| due <= self.clock.now()) {
@@ -324,9 +324,9 @@
             GatewayAction::SetLimits { limits } => {
                 self.outlets.limits.send_replace(limits);
             }
-            GatewayAction::Finished(note) => {
-                log_lines::finished(&note);
-                self.outlets.metrics.finished(&note);
+            GatewayAction::Finished(summary) => {
+                log_lines::finished(&summary);
+                self.outlets.metrics.finished(&summary);
             }
             GatewayAction::Changed(change) => {
                 log_lines::changed(&change);
--- a/crates/thornbridge-node/src/gateway/log_lines.rs
+++ b/crates/thornbridge-node/src/gateway/log_lines.rs
@@ -11,32 +11,33 @@
 const ATTEMPTS_NAMED: usize = 8;
 
 /// A request ended.
-pub(super) fn finished(note: &RequestSummary) {
+pub(super) fn finished(summary: &RequestSummary) {
     log::info!(
-        id = note.id.as_str(),
-        fingerprint:% = note.fingerprint,
-        route = note.route.as_str(),
-        outcome = note.outcome,
-        version = note.version.0,
-        registry = note.registry.number,
-        took_ms = millis(note.took),
-        answer_by_ms = millis(note.objective),
-        parts = note.parts,
-        of = note.of,
-        attempts = note.attempts,
-        denied = note.denied,
-        caller_try = note.caller_try.as_str(),
-        retry_after_ms = or_never(note.retry_after),
-        coordinator = coordinator(note).as_str(),
-        owners = owners(&note.slices).as_str(),
-        notable = named(&note.notable).as_str();
+        id = summary.id.as_str(),
+        fingerprint:% = summary.fingerprint,
+        route = summary.route.as_str(),
+        outcome = summary.outcome,
+        version = summary.version.0,
+        registry = summary.registry.number,
+        took_ms = millis(summary.duration),
+        answer_by_ms = millis(summary.answer_due),
+        parts = summary.parts_answered,
+        of = summary.parts_requested,
+        attempts = summary.attempts_sent,
+        denied = summary.extra_attempts_denied,
+        caller_try = summary.caller_try.as_str(),
+        retry_after_ms = or_never(summary.retry_after),
+        coordinator = coordinator(summary).as_str(),
+        owners = owners(&summary.slices).as_str(),
+        notable = named(&summary.notable_attempts).as_str();
         "request"
     );
 }
 
 /// The node whose caller's request it was, where this one answered a slice of it.
-fn coordinator(note: &RequestSummary) -> String {
-    note.coordinator
+fn coordinator(summary: &RequestSummary) -> String {
+    summary
+        .coordinator
         .map_or_else(String::new, |address| address.to_string())
 }
 
@@ -44,7 +45,7 @@
 fn owners(slices: &[SliceSummary]) -> String {
     let mut text = String::new();
     for slice in slices {
-        let asked_ms = millis(slice.asked_after);
+        let asked_ms = millis(slice.requested_after);
         let outcome = slice.outcome.as_str();
         // Writing to a string cannot fail.
         let _ = write!(text, "{}@{asked_ms}:{outcome};", slice.owner);
@@ -63,8 +64,8 @@
             millis(attempt.sent_after),
             attempt.outcome.as_str()
         );
-        if let Some(took) = attempt.took {
-            let _ = write!(text, "+{}", millis(took));
+        if let Some(duration) = attempt.duration {
+            let _ = write!(text, "+{}", millis(duration));
         }
         text.push(';');
     }
@@ -183,11 +184,11 @@
         GatewayChange::OwnersSilent {
             silent,
             slices,
-            lasts,
+            duration,
         } => log::info!(
             silent = *silent,
             slices = *slices,
-            lasts_ms = millis(*lasts);
+            lasts_ms = millis(*duration);
             "owners missing"
         ),
         GatewayChange::Quarantine {
@@ -203,8 +204,8 @@
             "request quarantine"
         ),
         GatewayChange::Members { members } => log::info!(members = *members; "members"),
-        GatewayChange::BudgetMembers { sharers } => {
-            log::info!(sharers = sharers.unwrap_or_default(); "budget sharers");
+        GatewayChange::BudgetMembers { members } => {
+            log::info!(sharers = members.unwrap_or_default(); "budget sharers");
         }
         GatewayChange::Lifecycle { state } => log::info!(state = *state; "node"),
     }
--- a/crates/thornbridge-node/src/gateway/metrics.rs
+++ b/crates/thornbridge-node/src/gateway/metrics.rs
@@ -150,40 +150,41 @@
     }
 
     /// A request ended.
-    pub(super) fn finished(&self, note: &RequestSummary) {
-        match note.coordinator {
-            None => self.request(note),
+    pub(super) fn finished(&self, summary: &RequestSummary) {
+        match summary.coordinator {
+            None => self.request(summary),
             // Its coordinator counts the request.
             Some(_) => {
-                let outcome = note.outcome.to_owned();
+                let outcome = summary.outcome.to_owned();
                 let labels = SliceLabels { outcome };
                 self.served_slices.get_or_create(&labels).inc();
             }
         }
-        self.attempts.inc_by(note.attempts as u64);
-        self.denied.inc_by(note.denied as u64);
-        for slice in &note.slices {
+        self.attempts.inc_by(summary.attempts_sent as u64);
+        self.denied.inc_by(summary.extra_attempts_denied as u64);
+        for slice in &summary.slices {
             let outcome = slice.outcome.as_str().to_owned();
             let labels = SliceLabels { outcome };
             self.slices.get_or_create(&labels).inc();
         }
-        for attempt in &note.notable {
+        for attempt in &summary.notable_attempts {
             self.attempt(attempt);
         }
     }
 
-    fn request(&self, note: &RequestSummary) {
+    fn request(&self, summary: &RequestSummary) {
         let labels = RequestLabels {
-            route: note.route.clone(),
-            outcome: note.outcome.to_owned(),
+            route: summary.route.clone(),
+            outcome: summary.outcome.to_owned(),
         };
         self.requests.get_or_create(&labels).inc();
         let route = RouteLabels {
-            route: note.route.clone(),
+            route: summary.route.clone(),
         };
-        let seconds = note.took.as_secs_f64();
+        let seconds = summary.duration.as_secs_f64();
         self.request_seconds.get_or_create(&route).observe(seconds);
-        self.missing_parts.inc_by((note.of - note.parts) as u64);
+        self.missing_parts
+            .inc_by((summary.parts_requested - summary.parts_answered) as u64);
     }
 
     fn attempt(&self, attempt: &AttemptSummary) {
--- a/crates/thornbridge-rehearsal/src/gateway/world/faults.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/faults.rs
@@ -190,7 +190,7 @@
         machine.frozen_until = until;
         machine.disturbed = machine.disturbed.max(until);
         let life = machine.life;
-        let paused = Box::new(GatewayEvent::Paused { by: lasts });
+        let paused = Box::new(GatewayEvent::Paused { duration: lasts });
         self.schedule(lasts, Occurrence::ToNode(node, life, paused));
     }
 
