--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -211,13 +211,13 @@
     assert_eq!(tracker.observe(&ReportedEra::Era(u64::MAX)), Ok((7, false)));
     assert_eq!(tracker.observe(&ReportedEra::Missing), Ok((7, true)));
     assert_eq!(tracker.observe(&ReportedEra::Era(8)), Ok((8, true)));
-    let ended = StaleEra {
+    let stale = StaleEra {
         reported: 7,
         current: 8,
     };
-    assert_eq!(tracker.observe(&ReportedEra::Era(7)), Err(ended));
-    let mut fresh = EraTracker::default();
-    assert_eq!(fresh.observe(&ReportedEra::Era(u64::MAX)), Ok((0, false)));
+    assert_eq!(tracker.observe(&ReportedEra::Era(7)), Err(stale));
+    let mut initial = EraTracker::default();
+    assert_eq!(initial.observe(&ReportedEra::Era(u64::MAX)), Ok((0, false)));
 }
 
 #[test]
@@ -260,15 +260,15 @@
         ViewObject::Instance(at(1, 10), ready_instance),
         ViewObject::Instance(at(1, 40), draining),
     ];
-    harness.page(ViewKind::Registry, objects, at(1, 50));
+    harness.reply_page(ViewKind::Registry, objects, at(1, 50));
     let object = ViewObject::Configuration(configuration(3, routes()));
-    harness.page(ViewKind::Configuration, vec![object], at(1, 50));
+    harness.reply_page(ViewKind::Configuration, vec![object], at(1, 50));
     harness.wait(millis(5_000));
     harness
 }
 
 impl Harness {
-    fn page(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
+    fn reply_page(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
         let read = self.reads.iter().rfind(|(read_kind, _)| *read_kind == kind);
         let read = read.expect("no read was issued").1;
         let next = None;
@@ -278,16 +278,16 @@
     }
 
     /// Answers the pending watch in a new era, and the list that follows.
-    fn new_era(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
+    fn begin_era(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: StoreRevision) {
         let read = self.reads.iter().rfind(|(read_kind, _)| *read_kind == kind);
         let read = read.expect("no read was issued").1;
-        let nothing = Vec::new();
+        let no_objects = Vec::new();
         let result = Ok(SourceReply::Changes {
-            objects: nothing,
+            objects: no_objects,
             at,
         });
         self.event(GatewayEvent::SourceReplied { kind, read, result });
-        self.page(kind, objects, at);
+        self.reply_page(kind, objects, at);
     }
 }
 
@@ -298,10 +298,10 @@
         let instance = instance(id, "s", InstanceState::Ready);
         ViewObject::Instance(at(2, 20), instance)
     });
-    harness.new_era(ViewKind::Registry, objects.to_vec(), at(2, 30));
+    harness.begin_era(ViewKind::Registry, objects.to_vec(), at(2, 30));
     let routes = vec![route("/", service("gone"), Repeatability::Repeatable)];
     let older = ViewObject::Configuration(configuration(2, routes));
-    harness.new_era(ViewKind::Configuration, vec![older], at(2, 30));
+    harness.begin_era(ViewKind::Configuration, vec![older], at(2, 30));
     assert_eq!(harness.gateway.store_era(), 2);
     assert_eq!(harness.gateway.configuration_version(), 3);
     harness.wait(millis(500));
--- a/crates/thornbridge-core/src/gateway/tests/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/tests/freshness.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn with_rank(rank: usize) -> Freshness {
+fn freshness_of_rank(rank: usize) -> Freshness {
     let mut freshness = Freshness::new(STALENESS_LIMIT);
     freshness.set_rank(rank);
     freshness
@@ -27,24 +27,24 @@
 
 #[test]
 fn first_rank_always_reads() {
-    let mut freshness = with_rank(0);
+    let mut freshness = freshness_of_rank(0);
     freshness.confirm(at(5_000));
     assert!(freshness.should_read(at(5_000)));
 }
 
 #[test]
 fn unconfirmed_node_reads_within_staleness_limit() {
-    assert!(!with_rank(7).should_read(at(0)));
-    assert!(with_rank(7).should_read(at(1_000)));
-    assert_eq!(with_rank(7).next_timeout(at(0)), Some(at(1_000)));
-    assert!(with_rank(1).should_read(at(600)));
+    assert!(!freshness_of_rank(7).should_read(at(0)));
+    assert!(freshness_of_rank(7).should_read(at(1_000)));
+    assert_eq!(freshness_of_rank(7).next_timeout(at(0)), Some(at(1_000)));
+    assert!(freshness_of_rank(1).should_read(at(600)));
 }
 
 #[test]
 fn ranks_take_over_in_order_within_staleness_limit() {
     let mut due = Vec::new();
     for rank in 1..8 {
-        let mut freshness = with_rank(rank);
+        let mut freshness = freshness_of_rank(rank);
         freshness.confirm(at(5_000));
         let reads = |after: &u64| freshness.should_read(at(5_000 + after));
         let first = (0..2_000).find(reads).expect("never reads");
@@ -56,7 +56,7 @@
 
 #[test]
 fn equal_peer_digest_confirms_with_its_age() {
-    let mut freshness = with_rank(3);
+    let mut freshness = freshness_of_rank(3);
     freshness.record_peer_digest(
         at(5_000),
         digest(4, 70),
@@ -68,7 +68,7 @@
 
 #[test]
 fn newer_peer_digest_confirms_after_catching_up() {
-    let mut freshness = with_rank(3);
+    let mut freshness = freshness_of_rank(3);
     let age = Duration::from_millis(100);
     freshness.record_peer_digest(at(5_000), digest(4, 70), digest(5, 70), age);
     assert_eq!(freshness.confirmed_at(), None);
@@ -80,14 +80,14 @@
 
 #[test]
 fn unconfirmed_peer_digest_confirms_nothing() {
-    let mut freshness = with_rank(3);
+    let mut freshness = freshness_of_rank(3);
     freshness.record_peer_digest(at(5_000), digest(4, 70), digest(4, 70), Duration::MAX);
     assert_eq!(freshness.confirmed_at(), None);
 }
 
 #[test]
 fn older_peer_confirmation_is_ignored() {
-    let mut freshness = with_rank(3);
+    let mut freshness = freshness_of_rank(3);
     freshness.confirm(at(5_000));
     let age = Duration::from_millis(900);
     freshness.record_peer_digest(at(5_100), digest(4, 70), digest(4, 70), age);
--- a/crates/thornbridge-core/src/gateway/tests/restarts.rs
+++ b/crates/thornbridge-core/src/gateway/tests/restarts.rs
@@ -16,7 +16,7 @@
 }
 
 /// A gateway with one server and an idle connection to it.
-fn with_idle_connection() -> Harness {
+fn harness_with_idle_connection() -> Harness {
     let target = service("plain");
     let mut harness =
         Harness::serving(vec![route("/one/", target, Repeatability::Repeatable)], &[]);
@@ -29,7 +29,7 @@
 
 #[test]
 fn restarted_server_gets_new_connections() {
-    let mut harness = with_idle_connection();
+    let mut harness = harness_with_idle_connection();
     let old_connection = harness.sent[0].connection;
     harness.opened.clear();
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
@@ -47,7 +47,7 @@
 
 #[test]
 fn attempt_failed_by_restart_is_retried_on_new_run() {
-    let mut harness = with_idle_connection();
+    let mut harness = harness_with_idle_connection();
     let caller = harness.ask("/one/2");
     let in_flight = harness.sent[1].attempt;
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
@@ -63,7 +63,7 @@
 
 #[test]
 fn entry_of_same_run_keeps_connections() {
-    let mut harness = with_idle_connection();
+    let mut harness = harness_with_idle_connection();
     harness.closed.clear();
     harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS, 80)], 51);
     harness.wait(millis(400));
@@ -82,7 +82,7 @@
 
 #[test]
 fn unusable_entry_removes_the_server() {
-    let mut harness = with_idle_connection();
+    let mut harness = harness_with_idle_connection();
     assert_eq!(harness.gateway.registered_instances(), 1);
     harness.changes(ViewKind::Registry, vec![unusable(51)], 51);
     assert_eq!(harness.gateway.registered_instances(), 0);
@@ -95,7 +95,7 @@
 
 #[test]
 fn unusable_entry_without_revision_removes_no_server() {
-    let mut harness = with_idle_connection();
+    let mut harness = harness_with_idle_connection();
     harness.changes(ViewKind::Registry, vec![unusable(0)], 60);
     assert_eq!(harness.gateway.registered_instances(), 1);
 }
