--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -17,7 +17,7 @@
 #[test]
 fn gather_is_answered_when_all_parts_answered() {
     let mut harness = gather_over_three_shards(0.5);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     for (attempt, body) in sent.iter().zip([ONE, THREE, TWO]) {
         assert!(!harness.answers.contains_key(&caller));
@@ -35,13 +35,13 @@
 #[test]
 fn gather_with_enough_parts_is_answered_at_soft_deadline() {
     let mut harness = gather_over_three_shards(0.6);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
     harness.reply(sent[2].attempt, answer(TWO));
-    harness.wait(millis(85));
+    harness.advance(millis(85));
     assert!(!harness.answers.contains_key(&caller));
-    harness.wait(millis(10));
+    harness.advance(millis(10));
     assert!(matches!(
         harness.answers[&caller],
         GatewayAnswer::Gathered { missing: 1, .. }
@@ -51,10 +51,10 @@
 #[test]
 fn gather_with_too_few_parts_continues_past_soft_deadline() {
     let mut harness = gather_over_three_shards(0.9);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert!(!harness.answers.contains_key(&caller));
     harness.reply(sent[1].attempt, answer(ONE));
     harness.reply(sent[2].attempt, answer(ONE));
@@ -67,34 +67,40 @@
 #[test]
 fn gather_without_enough_reachable_parts_is_refused_at_once() {
     let mut harness = gather_over_three_shards(0.9);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, verdict(ReplyVerdict::Invalid));
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
 fn request_is_refused_at_time_limit() {
     let mut harness = gather_over_three_shards(0.9);
-    let caller = harness.ask("/x");
-    harness.wait(millis(1_001));
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::TimedOut));
+    let caller = harness.send_request("/x");
+    harness.advance(millis(1_001));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::TimedOut)
+    );
     // Attempts in flight are cancelled after the grace period.
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     assert_eq!(harness.closed.len(), 3);
 }
 
 #[test]
 fn attempts_of_departed_caller_are_cancelled_after_grace() {
     let mut harness = gather_over_three_shards(0.9);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     harness.event(GatewayEvent::CallerDisconnected { caller });
-    harness.wait(millis(100));
+    harness.advance(millis(100));
     assert!(
         harness.closed.is_empty(),
         "cancelled before the grace period ended"
     );
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert_eq!(harness.closed.len(), 3);
     assert!(!harness.answers.contains_key(&caller));
 }
@@ -104,16 +110,19 @@
     let routes = vec![route("/", service("s"), AtMostOnce)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..4 {
-        let answered = harness.ask("/x");
+        let answered = harness.send_request("/x");
         let sent = harness.sent_for(answered);
         harness.reply(sent[0].attempt, answer(ONE));
     }
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let attempt = harness.sent_for(caller)[0].attempt;
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed { attempt, failure });
     assert_eq!(harness.sent_for(caller).len(), 1);
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
@@ -121,7 +130,7 @@
     for reply in [ReplyVerdict::NotRun, ReplyVerdict::WrongInstance] {
         let routes = vec![route("/", service("s"), AtMostOnce)];
         let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         let first = harness.sent_for(caller)[0].clone();
         harness.reply(first.attempt, verdict(reply));
         let sent = harness.sent_for(caller);
@@ -138,10 +147,10 @@
 #[test]
 fn late_reply_to_finished_request_is_ignored() {
     let mut harness = gather_over_three_shards(0.3);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
-    harness.wait(millis(100));
+    harness.advance(millis(100));
     let before = harness.answers[&caller].clone();
     harness.reply(sent[1].attempt, answer(TWO));
     assert_eq!(harness.answers[&caller], before);
@@ -150,11 +159,11 @@
 #[test]
 fn attempts_carry_remaining_time() {
     let mut harness = gather_over_three_shards(0.9);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     assert!(sent.iter().all(|sent| sent.caller_timeout <= millis(1_000)));
-    let second_caller = harness.ask("/x");
-    harness.wait(millis(400));
+    let second_caller = harness.send_request("/x");
+    harness.advance(millis(400));
     let later_attempts = harness.sent_for(second_caller);
     assert!(
         later_attempts
@@ -168,7 +177,7 @@
 fn unsent_part_waits_for_connection() {
     let routes = vec![route("/all/", gather(&["a", "b"], 1.0), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a"), ("i-2", "b")]);
-    let caller = harness.ask("/all/x");
+    let caller = harness.send_request("/all/x");
     let first = harness.sent_for(caller);
     let attempt = |sent: &[SentAttempt], id: &str| {
         let found = sent.iter().rev().find(|sent| sent.instance == id);
@@ -181,7 +190,7 @@
         failure: ExchangeFailure::NotSent,
     });
     assert!(!harness.answers.contains_key(&caller));
-    harness.wait(millis(500));
+    harness.advance(millis(500));
     let again = harness.sent_for(caller);
     assert!(again.len() > first.len(), "{again:?}");
     harness.reply(attempt(&again, "i-1"), answer(b"0000000000000001"));
@@ -196,8 +205,8 @@
 fn request_rejected_by_every_server_is_refused_at_once() {
     let routes = vec![route("/", service("a"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a")]);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let attempt = harness.sent_for(caller)[0].attempt;
     harness.reply(attempt, verdict(ReplyVerdict::NotRun));
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
 }
--- a/crates/thornbridge-core/src/gateway/tests/delays.rs
+++ b/crates/thornbridge-core/src/gateway/tests/delays.rs
@@ -43,13 +43,13 @@
         harness.event(GatewayEvent::AnswerDelayed { delay: *delay });
     }
     let started = harness.now;
-    let caller = harness.ask("/all/x");
+    let caller = harness.send_request("/all/x");
     let first = harness.sent_for(caller);
     let first_attempt = first.iter().find(|sent| sent.instance == "i-1");
     let attempt = first_attempt.expect("an attempt at i-1").attempt;
     harness.reply(attempt, answer(b"0000000000000001"));
     while !harness.answers.contains_key(&caller) {
-        harness.wait(millis(1));
+        harness.advance(millis(1));
     }
     let answer = &harness.answers[&caller];
     assert!(matches!(answer, GatewayAnswer::Gathered { missing: 1, .. }));
--- a/crates/thornbridge-core/src/gateway/tests/divisions.rs
+++ b/crates/thornbridge-core/src/gateway/tests/divisions.rs
@@ -118,8 +118,8 @@
         let search = route("/search/", target, Repeatability::Repeatable);
         let servers: Vec<(&str, &str)> = shards.iter().map(|shard| (*shard, *shard)).collect();
         let mut harness = Harness::serving(vec![search], &servers);
-        harness.shares_gathers(0.02, PEERS);
-        let caller = harness.ask("/search/1");
+        harness.join_peers_with_processor_share(0.02, PEERS);
+        let caller = harness.send_request("/search/1");
         assert!(harness.tasks.len() > 1);
         Self {
             harness,
@@ -201,7 +201,7 @@
                     self.harness.reply(sent.attempt, reply);
                 }
             }
-            Step::Wait { millis: time } => self.harness.wait(millis(time)),
+            Step::Wait { millis: time } => self.harness.advance(millis(time)),
         }
     }
 
@@ -239,7 +239,7 @@
             gather_run.apply(step);
             gather_run.check()?;
         }
-        gather_run.harness.wait(millis(2_000));
+        gather_run.harness.advance(millis(2_000));
         gather_run.check()?;
         prop_assert!(gather_run.harness.answers.contains_key(&gather_run.caller));
     }
--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -253,7 +253,7 @@
 /// A gateway with a ready and a draining server, as of the first era.
 fn serving() -> Harness {
     let routes = || vec![route("/", service("s"), Repeatability::Repeatable)];
-    let mut harness = Harness::started();
+    let mut harness = Harness::unconfigured();
     let draining = instance("drains", "s", InstanceState::Draining);
     let ready_instance = instance("stays", "s", InstanceState::Ready);
     let objects = vec![
@@ -263,7 +263,7 @@
     harness.reply_page(ViewKind::Registry, objects, at(1, 50));
     let object = ViewObject::Configuration(configuration(3, routes()));
     harness.reply_page(ViewKind::Configuration, vec![object], at(1, 50));
-    harness.wait(millis(5_000));
+    harness.advance(millis(5_000));
     harness
 }
 
@@ -304,8 +304,8 @@
     harness.begin_era(ViewKind::Configuration, vec![older], at(2, 30));
     assert_eq!(harness.gateway.store_era(), 2);
     assert_eq!(harness.gateway.configuration_version(), 3);
-    harness.wait(millis(500));
-    let caller: CallerId = harness.ask("/x");
+    harness.advance(millis(500));
+    let caller: CallerId = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     assert_eq!(sent[0].instance, "new");
 }
--- a/crates/thornbridge-core/src/gateway/tests/evacuations.rs
+++ b/crates/thornbridge-core/src/gateway/tests/evacuations.rs
@@ -22,15 +22,15 @@
 
 /// A gateway with these servers, given by zone, id and service.
 fn serving(target: thornbridge_config::routes::RouteTarget, servers: &[[&str; 3]]) -> Harness {
-    let mut harness = Harness::started();
+    let mut harness = Harness::unconfigured();
     let servers = servers.iter();
     let servers = servers.map(|[zone, id, service]| server_in(zone, id, service));
-    harness.list(ViewKind::Registry, servers.collect(), 50);
+    harness.list_reply(ViewKind::Registry, servers.collect(), 50);
     let routes = vec![route("/", target, Repeatability::Repeatable)];
     let object = ViewObject::Configuration(configuration(1, routes));
-    harness.list(ViewKind::Configuration, vec![object], 50);
-    harness.list(ViewKind::Evacuations, Vec::new(), 50);
-    harness.wait(millis(5_000));
+    harness.list_reply(ViewKind::Configuration, vec![object], 50);
+    harness.list_reply(ViewKind::Evacuations, Vec::new(), 50);
+    harness.advance(millis(5_000));
     harness
 }
 
@@ -50,7 +50,7 @@
 fn servers_used(harness: &mut Harness) -> BTreeSet<String> {
     let mut servers_used = BTreeSet::new();
     for _ in 0..20 {
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         for sent in harness.sent_for(caller) {
             servers_used.insert(sent.instance);
             harness.reply(sent.attempt, answer(RECORD));
@@ -66,23 +66,23 @@
 #[test]
 fn evacuated_zone_gets_no_requests_until_evacuation_ends() {
     let mut harness = two_zones();
-    harness.changes(ViewKind::Evacuations, vec![started("near")], 60);
+    harness.watch_reply(ViewKind::Evacuations, vec![started("near")], 60);
     assert_eq!(servers_used(&mut harness), names(&["s2"]));
-    harness.wait(millis(400));
-    harness.changes(ViewKind::Evacuations, vec![ended("near")], 61);
-    harness.wait(millis(400));
-    harness.changes(ViewKind::Evacuations, vec![started("far")], 62);
+    harness.advance(millis(400));
+    harness.watch_reply(ViewKind::Evacuations, vec![ended("near")], 61);
+    harness.advance(millis(400));
+    harness.watch_reply(ViewKind::Evacuations, vec![started("far")], 62);
     assert_eq!(servers_used(&mut harness), names(&["s1"]));
 }
 
 #[test]
 fn server_registered_in_evacuated_zone_gets_no_requests() {
     let mut harness = two_zones();
-    harness.changes(ViewKind::Evacuations, vec![started("third")], 60);
-    harness.changes(ViewKind::Registry, vec![server_in("third", "s3", "s")], 61);
-    harness.wait(millis(400));
+    harness.watch_reply(ViewKind::Evacuations, vec![started("third")], 60);
+    harness.watch_reply(ViewKind::Registry, vec![server_in("third", "s3", "s")], 61);
+    harness.advance(millis(400));
     assert!(!servers_used(&mut harness).contains("s3"));
-    harness.changes(
+    harness.watch_reply(
         ViewKind::Evacuations,
         vec![started("near"), started("far")],
         62,
@@ -93,14 +93,14 @@
 #[test]
 fn second_attempt_is_not_sent_to_evacuated_zone() {
     let mut harness = two_zones();
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let first = harness.sent_for(caller).remove(0);
     let other = match first.instance.as_str() {
         "s1" => "far",
         _ => "near",
     };
-    harness.changes(ViewKind::Evacuations, vec![started(other)], 60);
-    harness.wait(millis(900));
+    harness.watch_reply(ViewKind::Evacuations, vec![started(other)], 60);
+    harness.advance(millis(900));
     assert_eq!(harness.sent_for(caller).len(), 1);
 }
 
@@ -108,8 +108,8 @@
 fn gather_omits_shards_without_servers_outside_evacuated_zones() {
     let servers = [["a", "x1", "x"], ["a", "y1", "y"], ["b", "z1", "z"]];
     let mut harness = serving(gather(&["x", "y", "z"], 0.6), &servers);
-    harness.changes(ViewKind::Evacuations, vec![started("b")], 60);
-    let caller = harness.ask("/x");
+    harness.watch_reply(ViewKind::Evacuations, vec![started("b")], 60);
+    let caller = harness.send_request("/x");
     for sent in harness.sent_for(caller) {
         assert_ne!(sent.instance, "z1");
         harness.reply(sent.attempt, answer(RECORD));
@@ -124,10 +124,10 @@
 fn gather_with_too_few_available_shards_is_refused_as_not_run() {
     let servers = [["a", "x1", "x"], ["b", "y1", "y"]];
     let mut harness = serving(gather(&["x", "y"], 0.9), &servers);
-    harness.changes(ViewKind::Evacuations, vec![started("b")], 60);
-    let caller = harness.ask("/x");
+    harness.watch_reply(ViewKind::Evacuations, vec![started("b")], 60);
+    let caller = harness.send_request("/x");
     assert!(harness.sent_for(caller).is_empty());
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
 }
 
 #[test]
--- a/crates/thornbridge-core/src/gateway/tests/grants.rs
+++ b/crates/thornbridge-core/src/gateway/tests/grants.rs
@@ -23,7 +23,7 @@
 /// Gather that all owners but one have reported on.
 fn gather_with_silent_owner() -> (Harness, CallerId, SocketAddr, SliceTask) {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     let (silent, task) = tasks[0].clone();
@@ -37,7 +37,7 @@
 #[test]
 fn slice_of_silent_owner_is_delegated_again() {
     let (mut harness, caller, silent, task) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     let (other, second_task) = harness.tasks[0].clone();
     assert_ne!(other, silent);
     assert_eq!(second_task.shards, task.shards);
@@ -52,19 +52,19 @@
 #[test]
 fn silent_owner_is_avoided_by_later_gathers() {
     let (mut harness, _, silent, _) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     harness.tasks.clear();
-    harness.ask("/search/2");
+    harness.send_request("/search/2");
     assert!(harness.tasks.iter().all(|(owner, _)| *owner != silent));
 }
 
 /// Owner that replaces a silent one after a message from this peer.
 fn replacement_after_message_from(number: u8) -> SocketAddr {
     let (mut harness, _, _, task) = gather_with_silent_owner();
-    harness.wait(millis(1));
+    harness.advance(millis(1));
     let (slice, reason) = (SliceId(task.slice.0 + 1_000), SliceStop::Answered);
     harness.slice_message(peer(number), SliceMessage::Stop { slice, reason });
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     harness.tasks[0].0
 }
 
@@ -86,23 +86,23 @@
 #[test]
 fn gather_is_served_locally_when_most_owners_are_silent() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[..1]);
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     // This node may be partitioned, so no other owner is tried.
     assert!(harness.tasks.is_empty());
     answer_all(&mut harness);
     // The soft deadline has passed, so enough shards complete the answer.
     let answer = harness.answers.get(&caller);
     assert_matches!(answer, Some(GatewayAnswer::Gathered { .. }));
-    let next = harness.ask("/search/2");
+    let next = harness.send_request("/search/2");
     assert!(harness.tasks.is_empty());
     answer_all(&mut harness);
     let answer = harness.answers.get(&next);
     assert_matches!(answer, Some(GatewayAnswer::Gathered { missing: 0, .. }));
-    harness.wait(millis(2_500));
-    harness.ask("/search/3");
+    harness.advance(millis(2_500));
+    harness.send_request("/search/3");
     assert!(!harness.tasks.is_empty(), "division did not resume");
 }
 
@@ -111,14 +111,14 @@
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     // Lets the route learn the caller timeout of first tries.
     for _ in 0..20 {
-        harness.ask_with("/search/1", millis(800));
+        harness.send_request_with_timeout("/search/1", millis(800));
         let tasks = std::mem::take(&mut harness.tasks);
         report_all(&mut harness, &tasks);
     }
-    let caller = harness.ask_with("/search/2", caller_timeout);
+    let caller = harness.send_request_with_timeout("/search/2", caller_timeout);
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
-    harness.wait(SILENCE_TIMEOUT * 2);
+    harness.advance(SILENCE_TIMEOUT * 2);
     assert_eq!(
         harness.tasks.len(),
         1,
@@ -130,7 +130,10 @@
 #[test]
 fn first_try_stalled_by_silent_owners_is_refused_early() {
     let (harness, caller) = slice_with_two_silent_owners(millis(800));
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
@@ -160,7 +163,7 @@
 #[test]
 fn late_report_of_silent_owner_is_used() {
     let (mut harness, caller, silent, task) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     let complete_report = report_of(&task, 0..task.shards.len(), b'1');
     report(&mut harness, silent, &task, complete_report);
     assert_eq!(missing_shards(&harness, caller), Some(0));
@@ -169,7 +172,7 @@
 #[test]
 fn records_of_two_owners_are_not_combined() {
     let (mut harness, caller, silent, task) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     let (other, second_task) = harness.tasks[0].clone();
     report(
         &mut harness,
@@ -192,7 +195,7 @@
     let (mut harness, _, owner, task) = gather_with_silent_owner();
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(grants(&harness, task.slice), [2]);
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     // Attempts that the first owner may have used are granted to no other.
     assert!(harness.tasks.is_empty());
     report_and_request(&mut harness, owner, &task, empty_report());
@@ -214,7 +217,7 @@
 #[test]
 fn replaced_owner_is_granted_no_further_attempts() {
     let (mut harness, _, silent, task) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     assert_eq!(harness.tasks.len(), 1);
     report_and_request(&mut harness, silent, &task, empty_report());
     assert_eq!(grants(&harness, task.slice), [1]);
@@ -223,7 +226,7 @@
 #[test]
 fn lost_owner_is_granted_nothing() {
     let (mut harness, caller, silent, task) = gather_with_silent_owner();
-    harness.wait(SILENCE_TIMEOUT);
+    harness.advance(SILENCE_TIMEOUT);
     let (other, _) = harness.tasks[0].clone();
     harness.event(GatewayEvent::PeerLinkDown { address: other });
     harness.event(GatewayEvent::PeerLinkDown { address: silent });
@@ -250,7 +253,7 @@
     harness.event(GatewayEvent::PeerLinkDown { address: owner });
     assert_eq!(harness.tasks[0].1.prior_attempts, 1);
     harness.reply(sent[0].attempt, verdict(ReplyVerdict::Invalid));
-    harness.wait(millis(100));
+    harness.advance(millis(100));
     assert_eq!(harness.sent_for(caller).len(), 1);
 }
 
@@ -260,7 +263,7 @@
     let attempts_sent = |extra_allowed: bool| {
         let (mut harness, caller, owner, task) = gather_with_silent_owner();
         if !extra_allowed {
-            harness.without_budget();
+            harness.disable_extra_attempts();
         }
         let rejection = SliceReport {
             failed: vec![(0, ShardFailure::Rejected)],
@@ -287,14 +290,14 @@
 fn owner_sends_no_second_attempt_without_grant() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, first_task(&["shard-1"]));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert_eq!(harness.sent.len(), 1);
     grant(&mut harness, 2);
-    harness.wait(millis(20));
+    harness.advance(millis(20));
     assert_eq!(harness.sent.len(), 2);
     // A duplicate grant adds no attempts.
     grant(&mut harness, 2);
-    harness.wait(millis(100));
+    harness.advance(millis(100));
     assert_eq!(harness.sent.len(), 2);
     answer_all(&mut harness);
     assert!(
@@ -309,7 +312,7 @@
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, first_task(&["shard-1"]));
     grant(&mut harness, 1);
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert_eq!(harness.sent.len(), 1);
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
     assert!(
@@ -338,7 +341,7 @@
 fn rejected_owner_without_budget() -> Harness {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, first_task(&["shard-1", "shard-2"]));
-    harness.without_budget();
+    harness.disable_extra_attempts();
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::NotRun));
     assert_eq!(harness.sent.len(), 2);
     harness
@@ -349,10 +352,10 @@
 fn lent_attempt_is_sent_without_owner_budget() {
     let mut harness = rejected_owner_without_budget();
     grant_lending(&mut harness, 2, vec![0]);
-    harness.wait(millis(50));
+    harness.advance(millis(50));
     assert_eq!(harness.sent.len(), 3);
     harness.reply(harness.sent[2].attempt, verdict(ReplyVerdict::NotRun));
-    harness.wait(millis(50));
+    harness.advance(millis(50));
     assert_eq!(harness.sent.len(), 3, "sent more attempts than were lent");
 }
 
@@ -360,11 +363,11 @@
 fn lent_attempt_expires() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, first_task(&["shard-1"]));
-    harness.without_budget();
+    harness.disable_extra_attempts();
     grant_lending(&mut harness, 2, vec![0]);
     harness.now = harness.now + millis(1_100);
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::NotRun));
-    harness.wait(millis(50));
+    harness.advance(millis(50));
     assert_eq!(harness.sent.len(), 1);
 }
 
@@ -379,14 +382,14 @@
         lent.sum()
     };
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    harness.ask("/search/1");
+    harness.send_request("/search/1");
     let (owner, task) = harness.tasks[0].clone();
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(lent_count(&harness), 2 * task.shards.len());
 
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    harness.without_budget();
-    harness.ask("/search/1");
+    harness.disable_extra_attempts();
+    harness.send_request("/search/1");
     let (owner, task) = harness.tasks[0].clone();
     report_and_request(&mut harness, owner, &task, empty_report());
     assert_eq!(lent_count(&harness), 0);
@@ -396,9 +399,9 @@
 fn owner_distinguishes_rejected_from_unsent_shards() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, first_task(&["shard-1", "unknown"]));
-    harness.without_budget();
+    harness.disable_extra_attempts();
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::NotRun));
-    harness.wait(millis(950));
+    harness.advance(millis(950));
     let last = reports(&harness).pop().expect("a report");
     assert!(last.finished);
     let failed = reports(&harness)
--- a/crates/thornbridge-core/src/gateway/tests/hedges.rs
+++ b/crates/thornbridge-core/src/gateway/tests/hedges.rs
@@ -9,8 +9,8 @@
     let routes = vec![route("/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..40 {
-        harness.ask("/x");
-        harness.wait(millis(5));
+        harness.send_request("/x");
+        harness.advance(millis(5));
         for attempt in std::mem::take(&mut harness.sent) {
             harness.reply(attempt.attempt, answer(b""));
         }
@@ -20,10 +20,10 @@
 
 /// Time until the hedge of an unanswered request.
 fn time_to_hedge(harness: &mut Harness) -> Duration {
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let started = harness.now;
     while harness.sent_for(caller).len() < 2 {
-        harness.wait(millis(1));
+        harness.advance(millis(1));
         assert!(
             harness.now.since(started) < millis(500),
             "no hedge within 500 ms"
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -12,8 +12,8 @@
 
 /// Gateway whose store has not answered for 500 ms.
 fn gateway_without_views() -> Harness {
-    let mut harness = Harness::started();
-    harness.wait(millis(500));
+    let mut harness = Harness::unconfigured();
+    harness.advance(millis(500));
     harness
 }
 
@@ -31,12 +31,12 @@
         || harness.gateway.configuration_version() == 0
     {
         if harness.gateway.registered_instances() == 0 {
-            harness.list(ViewKind::Registry, instances.clone(), 50);
+            harness.list_reply(ViewKind::Registry, instances.clone(), 50);
         }
         if harness.gateway.configuration_version() == 0 {
-            harness.list(ViewKind::Configuration, vec![configuration.clone()], 50);
+            harness.list_reply(ViewKind::Configuration, vec![configuration.clone()], 50);
         }
-        harness.wait(millis(10));
+        harness.advance(millis(10));
     }
 }
 
@@ -44,11 +44,11 @@
 fn first_try_is_refused_at_once_without_views() {
     let mut harness = gateway_without_views();
     // Two requests with the longest caller timeout identify it as that of first tries.
-    harness.ask("/x/1");
-    harness.ask("/x/2");
-    let caller = harness.ask("/x/3");
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
-    let retry_after = harness.comes_back(caller).unwrap();
+    harness.send_request("/x/1");
+    harness.send_request("/x/2");
+    let caller = harness.send_request("/x/3");
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
+    let retry_after = harness.retry_after(caller).unwrap();
     assert!(
         retry_after >= millis(300) && retry_after <= millis(666),
         "{retry_after:?}"
@@ -57,9 +57,9 @@
 
 #[test]
 fn first_try_waits_while_views_load() {
-    let mut harness = Harness::started();
-    harness.wait(millis(20));
-    let callers = [1, 2, 3].map(|n| harness.ask(&format!("/x/{n}")));
+    let mut harness = Harness::unconfigured();
+    harness.advance(millis(20));
+    let callers = [1, 2, 3].map(|n| harness.send_request(&format!("/x/{n}")));
     assert!(
         callers
             .iter()
@@ -70,33 +70,33 @@
 #[test]
 fn caller_retry_is_kept_without_views() {
     let mut harness = gateway_without_views();
-    harness.ask("/x/1");
-    harness.ask("/x/2");
-    let retry = harness.ask_with("/x/3", millis(1_400));
-    harness.wait(millis(400));
+    harness.send_request("/x/1");
+    harness.send_request("/x/2");
+    let retry = harness.send_request_with_timeout("/x/3", millis(1_400));
+    harness.advance(millis(400));
     assert!(!harness.answers.contains_key(&retry));
     load_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
     answer_all(&mut harness);
-    assert!(harness.refused(retry).is_none());
+    assert!(harness.refusal_status(retry).is_none());
     assert!(harness.answers.contains_key(&retry));
 }
 
 #[test]
 fn caller_retry_is_reclassified_by_later_requests() {
     let mut harness = gateway_without_views();
-    let retry = harness.ask_with("/x/1", millis(1_400));
-    harness.ask("/x/2");
-    harness.wait(millis(1_000));
+    let retry = harness.send_request_with_timeout("/x/1", millis(1_400));
+    harness.send_request("/x/2");
+    harness.advance(millis(1_000));
     assert!(!harness.answers.contains_key(&retry));
-    harness.wait(millis(500));
-    assert_eq!(harness.refused(retry), Some(RefusalStatus::NotRun));
+    harness.advance(millis(500));
+    assert_eq!(harness.refusal_status(retry), Some(RefusalStatus::NotRun));
 }
 
 #[test]
 fn caller_timeout_counts_from_arrival() {
     let mut harness = gateway_without_views();
-    let caller = harness.ask_with("/x/1", millis(1_400));
-    harness.wait(millis(200));
+    let caller = harness.send_request_with_timeout("/x/1", millis(1_400));
+    harness.advance(millis(200));
     load_views(&mut harness, &[("a1", "a"), ("b1", "b")]);
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 2);
@@ -109,20 +109,20 @@
 }
 
 fn serving_one_of_two_shards() -> Harness {
-    let mut harness = Harness::started();
+    let mut harness = Harness::unconfigured();
     load_views(&mut harness, &[("a1", "a")]);
-    harness.wait(millis(500));
+    harness.advance(millis(500));
     harness
 }
 
 #[test]
 fn first_try_is_refused_at_once_with_too_few_shards() {
     let mut harness = serving_one_of_two_shards();
-    harness.ask("/x");
-    harness.ask("/x");
-    let caller = harness.ask("/x");
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
-    assert!(harness.comes_back(caller).unwrap() >= millis(300));
+    harness.send_request("/x");
+    harness.send_request("/x");
+    let caller = harness.send_request("/x");
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
+    assert!(harness.retry_after(caller).unwrap() >= millis(300));
     assert!(harness.sent_for(caller).is_empty());
 }
 
@@ -141,32 +141,32 @@
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     set_budget_ratio(&mut harness, 0.0);
     for _ in 0..2 {
-        harness.ask("/x");
+        harness.send_request("/x");
         answer_all(&mut harness);
     }
-    let first = harness.ask("/x");
+    let first = harness.send_request("/x");
     let rejected = harness.sent_for(first)[0].attempt;
     harness.reply(rejected, verdict(ReplyVerdict::NotRun));
-    assert_eq!(harness.refused(first), Some(RefusalStatus::NotRun));
+    assert_eq!(harness.refusal_status(first), Some(RefusalStatus::NotRun));
 
-    let retry = harness.ask_with("/x", millis(1_500));
+    let retry = harness.send_request_with_timeout("/x", millis(1_500));
     let rejected = harness.sent_for(retry)[0].attempt;
     harness.reply(rejected, verdict(ReplyVerdict::NotRun));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert!(!harness.answers.contains_key(&retry));
     set_budget_ratio(&mut harness, 1.0);
-    harness.wait(millis(50));
+    harness.advance(millis(50));
     assert_eq!(harness.sent_for(retry).len(), 2);
 }
 
 #[test]
 fn caller_retry_waits_for_unregistered_shards() {
     let mut harness = serving_one_of_two_shards();
-    harness.ask("/x");
-    harness.ask("/x");
+    harness.send_request("/x");
+    harness.send_request("/x");
     // The settling time after the start has passed.
-    harness.wait(Duration::from_secs(6));
-    let retry = harness.ask_with("/x", millis(1_500));
-    harness.wait(millis(700));
+    harness.advance(Duration::from_secs(6));
+    let retry = harness.send_request_with_timeout("/x", millis(1_500));
+    harness.advance(millis(700));
     assert!(!harness.answers.contains_key(&retry));
 }
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -1,7 +1,7 @@
 //! Tests of the quarantine of requests that crash servers, on a single node.
 
 use super::support::{
-    Harness, RECORD, answer, gather, millis, peer, route, service, two_servers_each,
+    Harness, RECORD, answer, gather, millis, peer, route, service, two_servers_per_shard,
 };
 use crate::driver_action::CallerId;
 use crate::gateway::parameters::QuarantineParameters;
@@ -42,7 +42,7 @@
 /// Gateway with a gather over six shards of two servers each.
 fn gather_gateway() -> Harness {
     let search = route("/search/", gather(&SHARDS, 0.8), Repeatability::Repeatable);
-    let servers = two_servers_each(&SHARDS);
+    let servers = two_servers_per_shard(&SHARDS);
     let servers: Vec<(&str, &str)> = servers
         .iter()
         .map(|(id, shard)| (id.as_str(), *shard))
@@ -65,12 +65,12 @@
 #[test]
 fn gather_that_crashes_all_shards_is_refused_after_canaries() {
     let mut harness = gather_gateway();
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let mut failed = 0;
     while let Some(sent) = harness.sent_for(caller).get(failed).cloned() {
         fail_attempt(&mut harness, sent.attempt);
         failed += 1;
-        harness.wait(millis(1));
+        harness.advance(millis(1));
     }
     assert_eq!(failed, SHARDS.len() + 2);
     let reason = RefusalReason::CrashesServers;
@@ -101,13 +101,13 @@
 #[test]
 fn gather_is_not_suspected_after_a_shard_answered() {
     let mut harness = gather_gateway();
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(RECORD));
     for attempt in &sent[1..] {
         fail_attempt(&mut harness, attempt.attempt);
     }
-    harness.wait(millis(5));
+    harness.advance(millis(5));
     let retried = harness.sent_for(caller).len() - sent.len();
     assert_eq!(
         retried,
@@ -119,7 +119,7 @@
 #[test]
 fn answer_while_probing_clears_request() {
     let mut harness = gather_gateway();
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let sent = harness.sent_for(caller);
     for attempt in &sent {
         fail_attempt(&mut harness, attempt.attempt);
@@ -131,7 +131,7 @@
         "more than one attempt while probing"
     );
     harness.reply(attempts[sent.len()].attempt, answer(RECORD));
-    harness.wait(millis(5));
+    harness.advance(millis(5));
     assert_eq!(harness.sent_for(caller).len(), 2 * sent.len());
 }
 
@@ -144,13 +144,13 @@
         ..record(&[1, 2, 3], false)
     };
     harness.quarantine_message(peer(1), vec![received]);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let reason = RefusalReason::CrashesServers;
     let expected = Some((reason, RefusalStatus::NotRun));
     assert_eq!(refusal(&harness, caller), expected);
     assert!(harness.sent_for(caller).is_empty());
     let retry_after = harness
-        .comes_back(caller)
+        .retry_after(caller)
         .expect("refusal without retry_after");
     assert!(retry_after > Duration::from_secs(170), "{retry_after:?}");
 }
@@ -223,10 +223,10 @@
     let plain = route("/one/", service("plain"), Repeatability::Repeatable);
     let servers = [("p-0", "plain"), ("p-1", "plain"), ("p-2", "plain")];
     let mut harness = Harness::serving(vec![plain], &servers);
-    let caller = harness.ask("/one/1");
+    let caller = harness.send_request("/one/1");
     let first = harness.sent_for(caller)[0].attempt;
     fail_attempt(&mut harness, first);
-    harness.wait(millis(1_000));
+    harness.advance(millis(1_000));
     assert_eq!(
         harness.sent_for(caller).len(),
         2,
--- a/crates/thornbridge-core/src/gateway/tests/restarts.rs
+++ b/crates/thornbridge-core/src/gateway/tests/restarts.rs
@@ -20,9 +20,9 @@
     let target = service("plain");
     let mut harness =
         Harness::serving(vec![route("/one/", target, Repeatability::Repeatable)], &[]);
-    harness.changes(ViewKind::Registry, vec![entry(50, BORN_MS, 80)], 50);
-    harness.wait(millis(300));
-    harness.ask("/one/1");
+    harness.watch_reply(ViewKind::Registry, vec![entry(50, BORN_MS, 80)], 50);
+    harness.advance(millis(300));
+    harness.send_request("/one/1");
     harness.reply(harness.sent[0].attempt, answer(b"whole"));
     harness
 }
@@ -32,10 +32,10 @@
     let mut harness = harness_with_idle_connection();
     let old_connection = harness.sent[0].connection;
     harness.opened.clear();
-    harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
+    harness.watch_reply(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
     assert!(harness.closed.contains(&old_connection));
-    harness.ask("/one/2");
-    harness.wait(millis(300));
+    harness.send_request("/one/2");
+    harness.advance(millis(300));
     assert!(!harness.opened.is_empty());
     assert!(harness.opened.iter().all(|address| address.port() == 81));
     assert_ne!(
@@ -48,15 +48,15 @@
 #[test]
 fn attempt_failed_by_restart_is_retried_on_new_run() {
     let mut harness = harness_with_idle_connection();
-    let caller = harness.ask("/one/2");
+    let caller = harness.send_request("/one/2");
     let in_flight = harness.sent[1].attempt;
-    harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
+    harness.watch_reply(ViewKind::Registry, vec![entry(51, BORN_MS + 1, 81)], 51);
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed {
         attempt: in_flight,
         failure,
     });
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     // The retry goes to the new run of the server.
     assert_eq!(harness.sent_for(caller).len(), 2);
 }
@@ -65,10 +65,10 @@
 fn entry_of_same_run_keeps_connections() {
     let mut harness = harness_with_idle_connection();
     harness.closed.clear();
-    harness.changes(ViewKind::Registry, vec![entry(51, BORN_MS, 80)], 51);
-    harness.wait(millis(400));
+    harness.watch_reply(ViewKind::Registry, vec![entry(51, BORN_MS, 80)], 51);
+    harness.advance(millis(400));
     // An entry without a start time is of the known run.
-    harness.changes(ViewKind::Registry, vec![entry(52, 0, 80)], 52);
+    harness.watch_reply(ViewKind::Registry, vec![entry(52, 0, 80)], 52);
     assert!(harness.closed.is_empty());
 }
 
@@ -84,18 +84,18 @@
 fn unusable_entry_removes_the_server() {
     let mut harness = harness_with_idle_connection();
     assert_eq!(harness.gateway.registered_instances(), 1);
-    harness.changes(ViewKind::Registry, vec![unusable(51)], 51);
+    harness.watch_reply(ViewKind::Registry, vec![unusable(51)], 51);
     assert_eq!(harness.gateway.registered_instances(), 0);
     // The server writes its entry again.
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     let again = vec![unusable(52), entry(53, BORN_MS, 80)];
-    harness.changes(ViewKind::Registry, again, 53);
+    harness.watch_reply(ViewKind::Registry, again, 53);
     assert_eq!(harness.gateway.registered_instances(), 1);
 }
 
 #[test]
 fn unusable_entry_without_revision_removes_no_server() {
     let mut harness = harness_with_idle_connection();
-    harness.changes(ViewKind::Registry, vec![unusable(0)], 60);
+    harness.watch_reply(ViewKind::Registry, vec![unusable(0)], 60);
     assert_eq!(harness.gateway.registered_instances(), 1);
 }
--- a/crates/thornbridge-core/src/gateway/tests/routing.rs
+++ b/crates/thornbridge-core/src/gateway/tests/routing.rs
@@ -19,9 +19,9 @@
         route("/long/", service("t"), Repeatable),
     ];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("t1", "t")]);
-    let caller = harness.ask("/long/x");
+    let caller = harness.send_request("/long/x");
     assert_eq!(harness.sent_for(caller)[0].instance, "t1");
-    let caller = harness.ask("/longer");
+    let caller = harness.send_request("/longer");
     assert_eq!(harness.sent_for(caller)[0].instance, "s1");
 }
 
@@ -29,17 +29,20 @@
 fn request_without_route_is_not_found() {
     let routes = vec![route("/only/", service("s"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("s1", "s")]);
-    let caller = harness.ask("/other/x");
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotFound));
+    let caller = harness.send_request("/other/x");
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::NotFound)
+    );
 }
 
 #[test]
 fn request_waits_for_configuration_then_gets_retry_after() {
-    let mut harness = Harness::started();
-    let caller = harness.ask("/x");
-    harness.wait(millis(500));
+    let mut harness = Harness::unconfigured();
+    let caller = harness.send_request("/x");
+    harness.advance(millis(500));
     assert!(!harness.answers.contains_key(&caller));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     let Some(GatewayAnswer::Refused { retry_after, .. }) = harness.answers.get(&caller) else {
         panic!("{:?}", harness.answers);
     };
@@ -55,9 +58,9 @@
     let mut harness = gateway_with_two_servers();
     let draining = instance("s1", "s", InstanceState::Draining);
     let draining = ViewObject::Instance(StoreRevision::without_era(60), draining);
-    harness.changes(ViewKind::Registry, vec![draining], 60);
+    harness.watch_reply(ViewKind::Registry, vec![draining], 60);
     for _ in 0..20 {
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         let sent = harness.sent_for(caller);
         assert_eq!(sent[0].instance, "s2");
         harness.reply(sent[0].attempt, answer(b""));
@@ -69,37 +72,37 @@
     let mut harness = gateway_with_two_servers();
     let removed =
         |id: &str| ViewObject::InstanceRemoved(StoreRevision::without_era(60), BackEndId::new(id));
-    harness.changes(ViewKind::Registry, vec![removed("s1")], 60);
-    let caller = harness.ask("/x");
+    harness.watch_reply(ViewKind::Registry, vec![removed("s1")], 60);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     assert_eq!(sent[0].instance, "s2");
-    harness.wait(millis(400));
-    harness.changes(ViewKind::Registry, vec![removed("s2")], 61);
-    let caller = harness.ask("/x");
+    harness.advance(millis(400));
+    harness.watch_reply(ViewKind::Registry, vec![removed("s2")], 61);
+    let caller = harness.send_request("/x");
     assert_eq!(harness.sent_for(caller).len(), 1);
-    harness.wait(millis(2_000));
-    let caller = harness.ask("/x");
+    harness.advance(millis(2_000));
+    let caller = harness.send_request("/x");
     assert!(harness.sent_for(caller).is_empty());
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::NotRun));
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
 }
 
 #[test]
 fn older_configuration_is_not_activated() {
     let mut harness = gateway_with_two_servers();
     let newer = configuration(9, vec![route("/nine/", service("s"), Repeatable)]);
-    harness.changes(
+    harness.watch_reply(
         ViewKind::Configuration,
         vec![ViewObject::Configuration(newer)],
         60,
     );
-    harness.wait(millis(1_000));
+    harness.advance(millis(1_000));
     let older = configuration(5, vec![route("/five/", service("s"), Repeatable)]);
-    harness.changes(
+    harness.watch_reply(
         ViewKind::Configuration,
         vec![ViewObject::Configuration(older)],
         61,
     );
-    harness.wait(millis(1_000));
+    harness.advance(millis(1_000));
     assert_eq!(harness.gateway.configuration_version(), 9);
 }
 
@@ -108,12 +111,12 @@
     let routes = vec![route("/", gather(&["a"], 0.5), Repeatable)];
     let mut harness = Harness::serving(routes, &[("a1", "a")]);
     let replacement = configuration(2, vec![route("/", gather(&["b"], 0.5), Repeatable)]);
-    harness.changes(
+    harness.watch_reply(
         ViewKind::Configuration,
         vec![ViewObject::Configuration(replacement)],
         60,
     );
-    harness.wait(millis(900));
+    harness.advance(millis(900));
     assert_eq!(harness.gateway.configuration_version(), 2);
 }
 
@@ -121,12 +124,12 @@
 fn invalid_configuration_is_rejected() {
     let mut harness = gateway_with_two_servers();
     let invalid = configuration(2, vec![route("/", gather(&["a"], 0.5), AtMostOnce)]);
-    harness.changes(
+    harness.watch_reply(
         ViewKind::Configuration,
         vec![ViewObject::Configuration(invalid)],
         60,
     );
-    harness.wait(millis(1_000));
+    harness.advance(millis(1_000));
     assert_eq!(harness.gateway.configuration_version(), 1);
 }
 
@@ -141,7 +144,7 @@
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("t1", "t")]);
     let mut sent_to_s1 = 0;
     for _ in 0..100 {
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         let sent = harness.sent_for(caller);
         sent_to_s1 += u32::from(sent[0].instance == "s1");
         harness.reply(sent[0].attempt, answer(b""));
@@ -152,13 +155,13 @@
 #[test]
 fn compacted_history_triggers_list() {
     let mut harness = gateway_with_two_servers();
-    harness.source(ViewKind::Registry, Err(SourceFailure::HistoryCompacted));
+    harness.source_reply(ViewKind::Registry, Err(SourceFailure::HistoryCompacted));
     let third = instance("s3", "s", InstanceState::Ready);
     let objects = vec![ViewObject::Instance(StoreRevision::without_era(70), third)];
-    harness.list(ViewKind::Registry, objects, 70);
-    harness.wait(millis(2_500));
+    harness.list_reply(ViewKind::Registry, objects, 70);
+    harness.advance(millis(2_500));
     for _ in 0..10 {
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         let sent = harness.sent_for(caller);
         assert_eq!(sent[0].instance, "s3");
         harness.reply(sent[0].attempt, answer(b""));
@@ -169,7 +172,7 @@
 /// does not have, is requested over and over.
 #[test]
 fn single_node_does_not_spin_on_timers() {
-    let mut harness = Harness::started();
-    harness.wait(millis(60_000));
+    let mut harness = Harness::unconfigured();
+    harness.advance(millis(60_000));
     assert!(harness.timers < 1_000, "{} timers", harness.timers);
 }
--- a/crates/thornbridge-core/src/gateway/tests/silences.rs
+++ b/crates/thornbridge-core/src/gateway/tests/silences.rs
@@ -17,12 +17,12 @@
 #[test]
 fn request_after_overdue_one_uses_fresh_connection() {
     let mut harness = node();
-    harness.shares_gathers(1.0, PEERS);
-    let unanswered = harness.ask("/one/1");
+    harness.join_peers_with_processor_share(1.0, PEERS);
+    let unanswered = harness.send_request("/one/1");
     let dead = harness.sent_for(unanswered)[0].connection;
-    harness.wait(millis(600));
-    let caller = harness.ask("/one/2");
-    harness.wait(millis(10));
+    harness.advance(millis(600));
+    let caller = harness.send_request("/one/2");
+    harness.advance(millis(10));
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 1, "a fresh connection replaces the dead one");
     assert_ne!(sent[0].connection, dead);
@@ -37,18 +37,18 @@
 fn connections_idle_since_before_overdue_attempt_are_not_reused() {
     let mut harness = node();
     // Two concurrent requests leave two idle connections.
-    let first = harness.ask("/one/1");
-    let second = harness.ask("/one/2");
-    harness.wait(millis(10));
+    let first = harness.send_request("/one/1");
+    let second = harness.send_request("/one/2");
+    harness.advance(millis(10));
     for caller in [first, second] {
         let sent = harness.sent_for(caller);
         harness.reply(sent[0].attempt, answer(RECORD));
     }
     let before = harness.open.clone();
-    harness.ask("/one/3");
-    harness.wait(millis(600));
-    let caller = harness.ask("/one/4");
-    harness.wait(millis(10));
+    harness.send_request("/one/3");
+    harness.advance(millis(600));
+    let caller = harness.send_request("/one/4");
+    harness.advance(millis(10));
     let sent = harness.sent_for(caller);
     assert!(!before.contains(&sent[0].connection));
 }
@@ -56,14 +56,14 @@
 #[test]
 fn slow_server_keeps_its_connections() {
     let mut harness = node();
-    let slow = harness.ask("/one/1");
+    let slow = harness.send_request("/one/1");
     let opened = harness.open.len();
-    harness.wait(millis(300));
-    harness.ask("/one/2");
-    harness.wait(millis(10));
+    harness.advance(millis(300));
+    harness.send_request("/one/2");
+    harness.advance(millis(10));
     let sent = harness.sent_for(slow);
     harness.reply(sent[0].attempt, answer(RECORD));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert!(harness.open.len() <= opened + 1);
     assert!(harness.closed.is_empty());
 }
--- a/crates/thornbridge-core/src/gateway/tests/slice_support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slice_support.rs
@@ -1,6 +1,6 @@
 //! Harness for divided gathers: a node with peers, and messages from them.
 
-use super::support::{Harness, gather, millis, peer, route, two_servers_each};
+use super::support::{Harness, gather, millis, peer, route, two_servers_per_shard};
 use crate::driver_action::CallerId;
 use crate::gateway::GatewayAnswer;
 use std::net::SocketAddr;
@@ -26,13 +26,13 @@
     let target = gather(&shards, REQUIRED_SHARE);
     let mut search = route("/search/", target, Repeatability::Repeatable);
     search.latency_objective = millis(200);
-    let servers = two_servers_each(&shards);
+    let servers = two_servers_per_shard(&shards);
     let servers: Vec<(&str, &str)> = servers
         .iter()
         .map(|(id, shard)| (id.as_str(), *shard))
         .collect();
     let mut harness = Harness::serving(vec![search], &servers);
-    harness.shares_gathers(processor_share, PEERS);
+    harness.join_peers_with_processor_share(processor_share, PEERS);
     harness
 }
 
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -13,7 +13,7 @@
 #[test]
 fn wide_gather_is_divided_on_slow_node() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     assert_eq!(harness.sent_for(caller).len(), 0);
     let tasks = harness.tasks.clone();
     let shards: usize = tasks.iter().map(|(_, task)| task.shards.len()).sum();
@@ -25,7 +25,7 @@
 #[test]
 fn gather_is_not_divided_on_full_core() {
     let mut harness = node_with_peers(1.0);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), SHARDS);
 }
@@ -33,7 +33,7 @@
 #[test]
 fn answer_holds_greatest_records_of_all_reports() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = harness.tasks.clone();
     for (index, (owner, task)) in tasks.iter().enumerate() {
         let complete_report = report_of(task, 0..task.shards.len(), index as u8);
@@ -49,7 +49,7 @@
 #[test]
 fn slice_of_lost_owner_is_delegated_again() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     let (lost_owner, lost_task) = tasks[0].clone();
     report_all(&mut harness, &tasks[1..]);
@@ -68,10 +68,10 @@
 #[test]
 fn slice_without_remaining_attempts_is_not_delegated_again() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
-    harness.wait(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
+    harness.advance(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
     // With its grant, the owner may have sent the second attempts by now.
     let (address, task) = tasks[0].clone();
     let partial_report = report_of(&task, 0..1, b'1');
@@ -79,14 +79,17 @@
     harness.event(GatewayEvent::PeerLinkDown { address });
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), 0);
-    harness.wait(millis(300));
-    assert_eq!(harness.refused(caller), Some(RefusalStatus::MayHaveRun));
+    harness.advance(millis(300));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
 fn late_report_replaces_local_answers() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = tasks[0].clone();
@@ -111,7 +114,7 @@
 #[test]
 fn slice_refused_by_all_owners_is_served_locally() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
             let refused = SliceReport {
@@ -132,7 +135,7 @@
 #[test]
 fn owners_are_stopped_when_caller_leaves() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     harness.event(GatewayEvent::CallerDisconnected { caller });
     for (_, task) in harness.tasks.clone() {
         assert_eq!(stops(&harness, task.slice), [SliceStop::CallerGone]);
@@ -142,13 +145,13 @@
 #[test]
 fn partial_answer_is_sent_at_soft_deadline() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     let tasks = harness.tasks.clone();
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = &tasks[0];
     let partial_report = report_of(task, 0..task.shards.len() - 1, b'1');
     report(&mut harness, *owner, task, partial_report);
-    harness.wait(millis(200));
+    harness.advance(millis(200));
     assert_eq!(missing_shards(&harness, caller), Some(1));
     assert_eq!(stops(&harness, task.slice), [SliceStop::Answered]);
 }
@@ -173,10 +176,10 @@
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, task(&["shard-1", "shard-2"], 0));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
-    harness.wait(millis(49));
+    harness.advance(millis(49));
     assert_eq!(harness.sent.len(), 2, "hedge sent before its earliest time");
     assert!(reports(&harness).is_empty());
-    harness.wait(millis(30));
+    harness.advance(millis(30));
     assert_eq!(harness.sent.len(), 3, "no hedge sent");
     let first = &reports(&harness)[0];
     assert_eq!(first.answered.len(), 1);
@@ -187,7 +190,7 @@
 fn late_shards_are_reported_as_they_answer() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     receive_task(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
-    harness.wait(millis(150));
+    harness.advance(millis(150));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
     harness.reply(harness.sent[1].attempt, answer(b"0000000000000002"));
     assert_eq!(
@@ -195,7 +198,7 @@
         2,
         "second report sent within the report interval"
     );
-    harness.wait(millis(10));
+    harness.advance(millis(10));
     let reports = reports(&harness);
     let answered: Vec<usize> = reports.iter().map(|report| report.answered.len()).collect();
     assert_eq!(answered, [0, 1, 1]);
@@ -207,7 +210,7 @@
     receive_task(&mut harness, task(&["shard-1"], 1));
     assert_eq!(harness.sent.len(), 1);
     harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Invalid));
-    harness.wait(millis(800));
+    harness.advance(millis(800));
     assert_eq!(harness.sent.len(), 1);
     let reports = reports(&harness);
     assert_eq!(
@@ -224,7 +227,7 @@
     let reason = SliceStop::CallerGone;
     harness.slice_message(peer(1), SliceMessage::Stop { slice, reason });
     let connection = harness.sent[0].connection;
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     assert!(harness.closed.contains(&connection));
     assert_eq!(harness.released.len(), 1);
 }
@@ -236,7 +239,7 @@
     let address = peer(1).address;
     harness.event(GatewayEvent::PeerLinkDown { address });
     let connection = harness.sent[0].connection;
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     assert!(harness.closed.contains(&connection));
 }
 
@@ -270,7 +273,7 @@
     receive_task(&mut harness, task(&["shard-1"], 0));
     assert!(reports(&harness)[0].refused);
     assert!(harness.sent.is_empty());
-    harness.wait(millis(200));
+    harness.advance(millis(200));
     receive_task(&mut harness, task(&["shard-1"], 0));
     assert_eq!(harness.sent.len(), 1);
 }
@@ -278,7 +281,7 @@
 #[test]
 fn unsent_tasks_are_served_locally() {
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
-    let caller = harness.ask("/search/1");
+    let caller = harness.send_request("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
             let slice = task.slice;
@@ -299,7 +302,7 @@
         attempt: sent.attempt,
         failure: ExchangeFailure::NotSent,
     });
-    harness.wait(millis(500));
+    harness.advance(millis(500));
     assert_eq!(reports(&harness), [SliceReport::refusal()]);
     assert_eq!(harness.sent.len(), 1);
     assert_eq!(harness.released, [caller]);
@@ -310,7 +313,7 @@
     let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let first_owner = |harness: &mut super::support::Harness| {
         harness.tasks.clear();
-        harness.ask("/search/1");
+        harness.send_request("/search/1");
         let tasks = std::mem::take(&mut harness.tasks);
         report_all(harness, &tasks[1..]);
         tasks[0].clone()
@@ -322,7 +325,7 @@
     let (other, _) = first_owner(&mut harness);
     assert_ne!(other, busy);
     // Shorter than the failure detection of peers that answer no probe.
-    harness.wait(millis(200));
+    harness.advance(millis(200));
     let (again, _) = first_owner(&mut harness);
     assert_eq!(again, busy);
 }
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -114,7 +114,7 @@
 }
 
 /// Ids of two servers per shard, each with its shard.
-pub fn two_servers_each<'a>(shards: &[&'a str]) -> Vec<(String, &'a str)> {
+pub fn two_servers_per_shard<'a>(shards: &[&'a str]) -> Vec<(String, &'a str)> {
     let servers = shards.iter().copied();
     let replicas = |shard| (0..2).map(move |replica| (format!("{shard}-{replica}"), shard));
     servers.flat_map(replicas).collect()
@@ -144,7 +144,7 @@
 
 impl Harness {
     /// Starts a gateway without configuration and registry.
-    pub fn started() -> Self {
+    pub fn unconfigured() -> Self {
         let mut parameters = GatewayParameters::default();
         parameters.budget.ratio = 0.5;
         parameters.budget.settling_windows = 0.0;
@@ -187,15 +187,15 @@
 
     /// Starts a gateway and loads these routes and servers.
     pub fn serving(routes: Vec<Route>, servers: &[(&str, &str)]) -> Self {
-        let mut harness = Self::started();
+        let mut harness = Self::unconfigured();
         let instances = servers.iter().enumerate().map(|(index, (id, service))| {
             let revision = StoreRevision::without_era(10 + index as u64);
             ViewObject::Instance(revision, instance(id, service, InstanceState::Ready))
         });
-        harness.list(ViewKind::Registry, instances.collect(), 50);
+        harness.list_reply(ViewKind::Registry, instances.collect(), 50);
         let object = ViewObject::Configuration(configuration(1, routes));
-        harness.list(ViewKind::Configuration, vec![object], 50);
-        harness.wait(millis(5_000));
+        harness.list_reply(ViewKind::Configuration, vec![object], 50);
+        harness.advance(millis(5_000));
         harness
     }
 
@@ -258,7 +258,7 @@
 
     /// Adds peers and sets the processor share, so that gathers are sliced; the budget of extra
     /// attempts is large.
-    pub fn shares_gathers(&mut self, processor_share: f64, peers: u8) {
+    pub fn join_peers_with_processor_share(&mut self, processor_share: f64, peers: u8) {
         let mut parameters = GatewayParameters::default();
         parameters.set_processor_share(processor_share);
         parameters.budget.ratio = 0.5;
@@ -267,11 +267,11 @@
         let parameters = Box::new(parameters);
         self.event(GatewayEvent::Reconfigured { parameters });
         self.add_peers(peers);
-        self.wait(millis(300));
+        self.advance(millis(300));
     }
 
     /// Sets the budget of extra attempts to zero.
-    pub fn without_budget(&mut self) {
+    pub fn disable_extra_attempts(&mut self) {
         let mut parameters = GatewayParameters::default();
         parameters.budget.ratio = 0.0;
         parameters.budget.slack = 0.0;
@@ -313,7 +313,7 @@
     }
 
     /// Resets the given number of next connections right after they open.
-    pub fn refuse_next(&mut self, connections: u32) {
+    pub fn reset_next_connections(&mut self, connections: u32) {
         self.resets_left = connections;
     }
 
@@ -332,23 +332,23 @@
     }
 
     /// Answers the pending read of a view with a complete list.
-    pub fn list(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
+    pub fn list_reply(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
         let reply = SourceReply::Page {
             objects,
             next: None,
             at: StoreRevision::without_era(at),
         };
-        self.source(kind, Ok(reply));
+        self.source_reply(kind, Ok(reply));
     }
 
     /// Answers the pending watch of a view with changes.
-    pub fn changes(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
+    pub fn watch_reply(&mut self, kind: ViewKind, objects: Vec<ViewObject>, at: u64) {
         let at = StoreRevision::without_era(at);
-        self.source(kind, Ok(SourceReply::Changes { objects, at }));
+        self.source_reply(kind, Ok(SourceReply::Changes { objects, at }));
     }
 
     /// Answers the pending read of a view.
-    pub fn source(
+    pub fn source_reply(
         &mut self,
         kind: ViewKind,
         result: Result<SourceReply, crate::gateway::SourceFailure>,
@@ -360,7 +360,7 @@
     }
 
     /// Advances time and fires due timers.
-    pub fn wait(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(due) = self.gateway.next_timeout()
             && due <= until
@@ -374,12 +374,12 @@
         self.now = self.now.max(until);
     }
 
-    pub fn ask(&mut self, path: &str) -> CallerId {
-        self.ask_with(path, millis(2_000))
+    pub fn send_request(&mut self, path: &str) -> CallerId {
+        self.send_request_with_timeout(path, millis(2_000))
     }
 
     /// Sends a request whose caller waits for `caller_timeout`.
-    pub fn ask_with(&mut self, path: &str, caller_timeout: Duration) -> CallerId {
+    pub fn send_request_with_timeout(&mut self, path: &str, caller_timeout: Duration) -> CallerId {
         self.next_caller += 1;
         let caller = CallerId(self.next_caller);
         let head = RequestHead {
@@ -395,7 +395,7 @@
     }
 
     /// Time after which a refused caller may retry.
-    pub fn comes_back(&self, caller: CallerId) -> Option<Duration> {
+    pub fn retry_after(&self, caller: CallerId) -> Option<Duration> {
         match self.answers.get(&caller) {
             Some(GatewayAnswer::Refused { retry_after, .. }) => *retry_after,
             _ => None,
@@ -413,7 +413,7 @@
         self.event(GatewayEvent::Replied { attempt, reply });
     }
 
-    pub fn refused(&self, caller: CallerId) -> Option<crate::gateway::RefusalStatus> {
+    pub fn refusal_status(&self, caller: CallerId) -> Option<crate::gateway::RefusalStatus> {
         match self.answers.get(&caller) {
             Some(GatewayAnswer::Refused { status, .. }) => Some(*status),
             _ => None,
