--- a/crates/thornbridge-core/src/limits/service.rs
+++ b/crates/thornbridge-core/src/limits/service.rs
@@ -15,7 +15,7 @@
 /// Weight of a new sample in the moving average of the latency.
 const LATENCY_EWMA_WEIGHT: f64 = 0.05;
 /// Lower bound of `retry_after`; an immediate retry would find the same queue.
-const MINIMUM_RETRY_AFTER: Duration = Duration::from_millis(10);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// Current limits of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -243,7 +243,7 @@
         let drain_time = self.predicted_wait(now, self.queue.len());
         AdmissionRefusal {
             reason: RefusalReason::Overloaded,
-            retry_after: drain_time.max(MINIMUM_RETRY_AFTER),
+            retry_after: drain_time.max(MIN_RETRY_AFTER),
         }
     }
 
--- a/crates/thornbridge-core/src/membership/probing.rs
+++ b/crates/thornbridge-core/src/membership/probing.rs
@@ -12,7 +12,7 @@
 };
 
 /// Urgent probes sent per step, so that a burst of updates does not cause a burst of probes.
-const MAXIMUM_URGENT_PROBES: usize = 4;
+const MAX_URGENT_PROBES: usize = 4;
 
 impl Membership {
     /// Handles expired probes and sends due ones.
@@ -47,7 +47,7 @@
     }
 
     fn probe_urgent(&mut self, context: &mut Context<'_>) {
-        for _ in 0..MAXIMUM_URGENT_PROBES {
+        for _ in 0..MAX_URGENT_PROBES {
             let Some((node, reason)) = self.probes.next_urgent() else {
                 return;
             };
--- a/crates/thornbridge-core/tests/members/stateful.rs
+++ b/crates/thornbridge-core/tests/members/stateful.rs
@@ -12,7 +12,7 @@
 use thornbridge_proto::{Incarnation, NodeId};
 
 const INITIAL_NODES: usize = 7;
-const MAXIMUM_NODES: usize = 12;
+const MAX_NODES: usize = 12;
 const BACK_ENDS: usize = 6;
 const CASES: u32 = 40;
 const LONG_CASES: u32 = 400;
@@ -84,7 +84,7 @@
             set_readiness.boxed(),
             down.boxed(),
         ];
-        if model.processes.len() < MAXIMUM_NODES {
+        if model.processes.len() < MAX_NODES {
             steps.push((0..2_usize).prop_map(Step::Start).boxed());
         }
         // Seeds 0 and 1 may be paused but not stopped, so that other nodes can always join.
@@ -92,7 +92,7 @@
         if !stoppable.is_empty() {
             steps.push(select(stoppable.clone()).prop_map(Step::Crash).boxed());
             steps.push(select(stoppable.clone()).prop_map(Step::Leave).boxed());
-            if model.processes.len() < MAXIMUM_NODES {
+            if model.processes.len() < MAX_NODES {
                 steps.push(select(stoppable).prop_map(Step::Restart).boxed());
             }
         }
