--- a/crates/thornbridge-core/src/gateway/tests/mod.rs
+++ b/crates/thornbridge-core/src/gateway/tests/mod.rs
@@ -2,6 +2,7 @@
 
 mod answers;
 mod budgets;
+mod dead_connections;
 mod delays;
 mod divisions;
 mod eras;
@@ -16,11 +17,10 @@
 mod restarts;
 mod routing;
 mod scarcity;
-mod silences;
 mod slice_support;
 mod slices;
+mod slowdown;
 mod sources;
-mod speeds;
 mod subsets;
 mod support;
 mod zone_peers;
--- a/crates/thornbridge-core/src/gateway/tests/subsets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/subsets.rs
@@ -117,7 +117,7 @@
     const NODES: usize = 64;
     const SHARDS: usize = 20;
     const CONNECTIONS: u32 = 54;
-    let mut of_server: BTreeMap<SocketAddr, u32> = BTreeMap::new();
+    let mut connections: BTreeMap<SocketAddr, u32> = BTreeMap::new();
     let mut single_replica = 0;
     for index in 0..NODES {
         let mut node = Node::new(index, SHARDS, CONNECTIONS);
@@ -133,10 +133,10 @@
             single_replica += usize::from(replicas == 1);
         }
         for (server, count) in opened {
-            *of_server.entry(server).or_default() += count;
+            *connections.entry(server).or_default() += count;
         }
     }
-    let most = of_server.values().max().copied().unwrap_or_default();
+    let most = connections.values().max().copied().unwrap_or_default();
     assert!(most <= 43, "{most} of 54 connections to one server");
     let share = single_replica as f64 / (NODES * SHARDS) as f64;
     assert!(share < 0.05, "{share} of nodes have a single replica");
@@ -157,8 +157,8 @@
 }
 
 /// Connections that 24 nodes open to a service with `servers` servers, by server.
-fn opened_to_one_service(servers: usize) -> BTreeMap<SocketAddr, u32> {
-    let mut of_server = BTreeMap::new();
+fn connections_to_one_service(servers: usize) -> BTreeMap<SocketAddr, u32> {
+    let mut connections = BTreeMap::new();
     for index in 0..24 {
         let mut node = Node::new(index, 1, 400);
         for replica in REPLICAS..servers {
@@ -167,16 +167,19 @@
         let opened = node.open_with_members(after(5_000), 24);
         assert_eq!(opened.len(), ServerParameters::default().servers_ahead);
         for (server, count) in opened {
-            *of_server.entry(server).or_default() += count;
+            *connections.entry(server).or_default() += count;
         }
     }
-    of_server
+    connections
 }
 
 /// Guards against nodes that connect to every server, most of which they never use.
 #[test]
 fn preconnections_do_not_grow_with_servers_and_are_spread() {
-    let (few, many) = (opened_to_one_service(12), opened_to_one_service(24));
+    let (few, many) = (
+        connections_to_one_service(12),
+        connections_to_one_service(24),
+    );
     assert_eq!(few.values().sum::<u32>(), many.values().sum::<u32>());
     assert!(many.len() > 18, "{many:?}");
 }
@@ -259,9 +262,9 @@
     let opened: Vec<_> = node.actions.iter().filter_map(opening).collect();
     for (connection, address) in opened {
         let near = address == server_address(0, 0);
-        let took = Duration::from_millis(if near { 1 } else { 10 });
+        let connect_time = Duration::from_millis(if near { 1 } else { 10 });
         node.servers
-            .connection_opened(after(5_010), connection, took);
+            .connection_opened(after(5_010), connection, connect_time);
     }
     let now = after(5_100);
     let work = Duration::from_millis(20);
