--- a/crates/thornbridge-core/src/gateway/caller_try.rs
+++ b/crates/thornbridge-core/src/gateway/caller_try.rs
@@ -1,9 +1,9 @@
-//! Infers whether a request is a caller's first attempt or a retry.
+//! Infers whether a request is a caller's first try or a retry.
 //!
-//! Callers state how long they still wait. First attempts on a route all state the same, longest
-//! timeout; a retry states less, by the time that earlier attempts took. The distinction matters
-//! while a request cannot be served: a first attempt is refused at once with a time to retry,
-//! whereas a retry, which the caller does not repeat, is held until its timeout.
+//! Callers state how long they still wait. First tries on a route all state the same, longest
+//! timeout; a retry states less, by the duration of earlier tries. The distinction matters while a
+//! request cannot be served: a first try is refused at once with a time to retry, whereas a retry,
+//! which the caller does not repeat, is held until its timeout.
 
 use super::event::RequestHead;
 use std::collections::BTreeMap;
@@ -11,15 +11,15 @@
 
 /// Difference up to which two stated timeouts count as equal.
 const TOLERANCE: Duration = Duration::from_millis(1);
-/// Number of requests with the longest timeout after which they count as first attempts.
+/// Number of requests with the longest timeout after which they count as first tries.
 const CONFIRMATIONS: u32 = 2;
 /// Maximum number of request kinds tracked before the first configuration.
 const KINDS_MAXIMUM: usize = 1_024;
 
-/// Whether a request is its caller's first attempt.
+/// Whether a request is its caller's first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerTry {
-    /// First attempt.
+    /// First try.
     First,
     /// Retry.
     Retry,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Time taken by earlier attempts of a caller with this remaining timeout.
+    /// Duration of the earlier tries of a caller with this remaining timeout.
     pub(super) fn elapsed(&self, timeout: Duration) -> Duration {
         self.longest.saturating_sub(timeout)
     }
--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -248,7 +248,7 @@
         /// Connection handle.
         connection: ConnectionId,
         /// Time taken to connect.
-        took: Duration,
+        connect_time: Duration,
     },
     /// A connection could not be opened, or closed while idle.
     ConnectionLost {
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -38,9 +38,12 @@
                 exchanges.caller_gone(&mut context, caller);
             }
             GatewayEvent::AnswerDelayed { delay } => self.exchanges.observe_answer_delay(delay),
-            GatewayEvent::ConnectionOpened { connection, took } => {
+            GatewayEvent::ConnectionOpened {
+                connection,
+                connect_time,
+            } => {
                 let (exchanges, mut context) = self.exchanges();
-                exchanges.connection_opened(&mut context, connection, took);
+                exchanges.connection_opened(&mut context, connection, connect_time);
             }
             GatewayEvent::ConnectionLost { connection } => {
                 let (exchanges, mut context) = self.exchanges();
@@ -138,9 +141,9 @@
             membership.machine_list_due(context);
         });
         self.read_sources();
-        let own = self.view_status();
+        let view_status = self.view_status();
         self.view_gossip
-            .timer_due(self.now, &mut self.random, &mut self.actions, own);
+            .timer_due(self.now, &mut self.random, &mut self.actions, view_status);
         self.servers.timer_due(self.now, &mut self.actions);
         self.quarantine
             .timer_due(self.now, &mut self.random, &mut self.actions);
@@ -188,7 +191,7 @@
         self.servers.set_ownership(&owned);
     }
 
-    /// Refuses a request that timed out waiting for a configuration, with a time to retry.
+    /// Refuses a request because no configuration is active, with a time to retry.
     fn refuse_without_configuration(&mut self, request: PendingRequest) {
         let caller_try = self.pending.classify(&request);
         let PendingRequest {
@@ -253,8 +256,8 @@
             self.activate_staged();
         }
         if self.has_views() {
-            for waiting in self.pending.take_all() {
-                self.route(waiting.caller, waiting.head, waiting.arrived);
+            for request in self.pending.take_all() {
+                self.route(request.caller, request.head, request.arrived);
             }
         }
         let ready = self.is_ready_to_serve();
@@ -264,6 +267,8 @@
         }
     }
 
+    /// Whether the views are loaded and every shard with servers has a connection, or the warm-up
+    /// time is over.
     fn is_ready_to_serve(&self) -> bool {
         if self.stopping || !self.has_views() {
             return false;
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -213,9 +213,12 @@
                 address,
             } => {
                 self.opened.push(address);
-                let took = millis(1);
+                let connect_time = millis(1);
                 self.open.push(connection);
-                self.event(GatewayEvent::ConnectionOpened { connection, took });
+                self.event(GatewayEvent::ConnectionOpened {
+                    connection,
+                    connect_time,
+                });
                 if self.resets_left > 0 {
                     self.resets_left -= 1;
                     self.close_by_server(connection);
--- a/crates/thornbridge-node/src/gateway/connection.rs
+++ b/crates/thornbridge-node/src/gateway/connection.rs
@@ -50,8 +50,11 @@
     let began = Instant::now();
     let opening = tokio::time::timeout(CONNECT_TIMEOUT, open(address));
     if let Ok(Some((sender, transport))) = opening.await {
-        let took = began.elapsed();
-        let opened = GatewayEvent::ConnectionOpened { connection, took };
+        let connect_time = began.elapsed();
+        let opened = GatewayEvent::ConnectionOpened {
+            connection,
+            connect_time,
+        };
         if context.send(opened).await.is_err() {
             return;
         }
--- a/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
@@ -168,16 +168,19 @@
         round_trip: Duration,
     ) {
         let taken = self.servers[server].connect(self.now, (node, life), connection);
-        let took = round_trip + ACCEPT;
-        let opened = Box::new(GatewayEvent::ConnectionOpened { connection, took });
-        self.schedule(took, Occurrence::ToNode(node, life, opened));
+        let connect_time = round_trip + ACCEPT;
+        let opened = Box::new(GatewayEvent::ConnectionOpened {
+            connection,
+            connect_time,
+        });
+        self.schedule(connect_time, Occurrence::ToNode(node, life, opened));
         if taken {
             self.machines[node].connections.insert(connection, server);
             return;
         }
         self.report.over_limit += 1;
         let lost = Box::new(GatewayEvent::ConnectionLost { connection });
-        let after = took + Duration::from_millis(1);
+        let after = connect_time + Duration::from_millis(1);
         self.schedule(after, Occurrence::ToNode(node, life, lost));
     }
 
