--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -198,7 +198,7 @@
     }
 
     /// Drops the request of a caller that disconnected; its attempts get a grace period to finish.
-    pub(super) fn caller_gone(&mut self, context: &mut Context<'_>, caller: CallerId) {
+    pub(super) fn caller_disconnected(&mut self, context: &mut Context<'_>, caller: CallerId) {
         let cancel_at = context.now + self.parameters.gone_grace;
         if let Some(mut request) = self.remove_request(context, caller, cancel_at) {
             self.stop_slices(context, &mut request, SliceStop::CallerGone);
--- a/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/slice_owner.rs
@@ -168,7 +168,7 @@
     }
 
     /// Refuses a slice whose relayed request is unusable; no attempt was sent.
-    pub(in crate::gateway) fn relay_unusable(
+    pub(in crate::gateway) fn relay_malformed(
         &mut self,
         context: &mut Context<'_>,
         caller: CallerId,
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -33,9 +33,9 @@
             GatewayEvent::Started => self.started(),
             GatewayEvent::Request { caller, head } => self.request(caller, head),
             GatewayEvent::CallerDisconnected { caller } => {
-                self.pending.caller_gone(caller);
+                self.pending.caller_disconnected(caller);
                 let (exchanges, mut context) = self.exchanges();
-                exchanges.caller_gone(&mut context, caller);
+                exchanges.caller_disconnected(&mut context, caller);
             }
             GatewayEvent::AnswerDelayed { delay } => self.exchanges.observe_answer_delay(delay),
             GatewayEvent::ConnectionOpened {
@@ -67,7 +67,7 @@
             }
             GatewayEvent::RelayMalformed { caller } => {
                 let (exchanges, mut context) = self.exchanges();
-                exchanges.relay_unusable(&mut context, caller);
+                exchanges.relay_malformed(&mut context, caller);
             }
             GatewayEvent::PeerLinkDown { address } => {
                 let (exchanges, mut context) = self.exchanges();
--- a/crates/thornbridge-core/src/gateway/pending.rs
+++ b/crates/thornbridge-core/src/gateway/pending.rs
@@ -84,7 +84,7 @@
     }
 
     /// Removes the request of a caller that disconnected.
-    pub(super) fn caller_gone(&mut self, caller: CallerId) {
+    pub(super) fn caller_disconnected(&mut self, caller: CallerId) {
         self.requests.remove(&caller);
     }
 
