--- a/crates/thornbridge-core/src/gossip/send_budget.rs
+++ b/crates/thornbridge-core/src/gossip/send_budget.rs
@@ -31,7 +31,8 @@
         self.available_bytes.max(0.0) as usize
     }
 
-    /// Allowance of one message. A quarter of the bucket is reserved for [`Urgency::Leaving`](super::Urgency::Leaving).
+    /// Allowance of one message. A quarter of the bucket is reserved for
+    /// [`Urgency::Leaving`](super::Urgency::Leaving).
     pub fn allowance(&mut self, now: Timestamp, message_limit_bytes: usize) -> Allowance {
         let available = self.available(now);
         let reserve = (self.burst_bytes / 4.0) as usize;
--- a/crates/thornbridge-core/src/health/parameters.rs
+++ b/crates/thornbridge-core/src/health/parameters.rs
@@ -14,8 +14,8 @@
     /// Nodes of each region that probe a back end. More than one, so that a broken link is not
     /// taken for a broken back end.
     pub observers_per_region: usize,
-    /// Interval between probes of a back end in the node's own region. Bounds the time until a leaving
-    /// back end without traffic is detected.
+    /// Interval between probes of a back end in the node's own region. Bounds the time until a
+    /// leaving back end without traffic is detected.
     pub probe_interval: Duration,
     /// Interval between probes of a back end in another region, which nodes there probe more often.
     pub remote_probe_interval: Duration,
@@ -39,8 +39,9 @@
     pub publish_interval: Duration,
     /// Upper bound of the doubled interval.
     pub publish_interval_maximum: Duration,
-    /// Each node sends a change `ceil(ln(members)) + transmission_margin` times. The probability that
-    /// some node misses the change is about `exp(-transmission_margin)`; anti-entropy repairs that.
+    /// Each node sends a change `ceil(ln(members)) + transmission_margin` times. The probability
+    /// that some node misses the change is about `exp(-transmission_margin)`; anti-entropy repairs
+    /// that.
     pub transmission_margin: u32,
     /// Times that each node sends a change of snapshots. Low, since such changes come in bursts and
     /// are not urgent; anti-entropy repairs what is missed.
--- a/crates/thornbridge-core/src/limits/mod.rs
+++ b/crates/thornbridge-core/src/limits/mod.rs
@@ -100,7 +100,8 @@
 pub enum Admission {
     /// The request runs now; call [`Limits::request_finished`] when it ends.
     Run,
-    /// The request is queued, until a [`Release`] returns it or [`Limits::cancel_queued`] removes it.
+    /// The request is queued, until a [`Release`] returns it or [`Limits::cancel_queued`] removes
+    /// it.
     Queued,
     /// The request is refused.
     Refuse(AdmissionRefusal),
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Installs a configuration. Services keep their limits and queues; queued requests of a removed
-    /// service are refused.
+    /// Installs a configuration. Services keep their limits and queues; queued requests of a
+    /// removed service are refused.
     pub fn install(&mut self, context: &mut Context<'_>, in_force: &InForce) -> Release {
         let mut release = Release::default();
         let removed: Vec<ServiceName> = self
--- a/crates/thornbridge-core/src/limits/tests/admission.rs
+++ b/crates/thornbridge-core/src/limits/tests/admission.rs
@@ -123,7 +123,9 @@
         6 => (0..3usize, 0..200u64)
             .prop_map(|(service, deadline_ms)| Step::Arrive { service, deadline_ms }),
         4 => (any::<usize>(), 1..50u64, any::<bool>())
-            .prop_map(|(index, latency_ms, overloaded)| Step::Finish { index, latency_ms, overloaded }),
+            .prop_map(|(index, latency_ms, overloaded)| {
+                Step::Finish { index, latency_ms, overloaded }
+            }),
         1 => any::<usize>().prop_map(|index| Step::Cancel { index }),
         3 => (0..30_000u64).prop_map(|duration_us| Step::Advance { duration_us }),
         1 => (1..5u32, 0..10u32)
@@ -320,7 +322,8 @@
         ..Config::default()
     })]
 
-    /// Each request is in exactly one state, limits hold, and no request is queued past its deadline.
+    /// Each request is in exactly one state, limits hold, and no request is queued past its
+    /// deadline.
     #[test]
     fn admission_agrees_with_model(
         steps in prop::collection::vec(step(), 1..150),
--- a/crates/thornbridge-core/src/limits/tests/orders.rs
+++ b/crates/thornbridge-core/src/limits/tests/orders.rs
@@ -64,7 +64,9 @@
                 2 => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Hedge)),
                 _ => extra_attempts += u32::from(budget.try_take(ExtraAttempt::Retry)),
             }
-            prop_assert!(f64::from(extra_attempts) <= initial + share * f64::from(first_attempts) + 1e-9);
+            prop_assert!(
+                f64::from(extra_attempts) <= initial + share * f64::from(first_attempts) + 1e-9
+            );
         }
     }
 
--- a/crates/thornbridge-core/src/membership/anti_entropy.rs
+++ b/crates/thornbridge-core/src/membership/anti_entropy.rs
@@ -66,8 +66,8 @@
         self.send_repair(context, from, MembershipMessage::Buckets { buckets, keys });
     }
 
-    /// Handles a peer's member states in some buckets: applies these, replies with newer records, and
-    /// requests the records that are missing here.
+    /// Handles a peer's member states in some buckets: applies these, replies with newer records,
+    /// and requests the records that are missing here.
     pub(super) fn handle_buckets(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/thornbridge-core/src/membership/gossip_queue.rs
+++ b/crates/thornbridge-core/src/membership/gossip_queue.rs
@@ -16,8 +16,8 @@
 }
 
 impl GossipQueue {
-    /// Queues an update, replacing older ones on the same subject. A record or state also replaces all
-    /// suspicions of its member.
+    /// Queues an update, replacing older ones on the same subject. A record or state also replaces
+    /// all suspicions of its member.
     pub fn push(&mut self, update: MemberUpdate, transmissions: u32) {
         let Ok(encoded) = frame::encode(&update) else {
             return;
--- a/crates/thornbridge-core/src/membership/joining.rs
+++ b/crates/thornbridge-core/src/membership/joining.rs
@@ -61,8 +61,8 @@
         self.next_list_request = now + jittered(parameters.machine_list_delay, random);
     }
 
-    /// Records that a peer sent its member list. Seeds that are not members are still contacted, with
-    /// growing intervals, since nodes that joined through each other may have found no others.
+    /// Records that a peer sent its member list. Seeds that are not members are still contacted,
+    /// with growing intervals, since nodes that joined through each other may have found no others.
     pub fn mark_joined(&mut self, parameters: &MembershipParameters, now: Timestamp) {
         if self.joined {
             return;
@@ -74,9 +74,9 @@
         self.next_attempt = now + self.interval;
     }
 
-    /// Whether this node joined long ago, so that the interval has reached its maximum. Seeds that are
-    /// not members are then sent a digest instead of a join, since after a region split all nodes
-    /// contact the same few seeds.
+    /// Whether this node joined long ago, so that the interval has reached its maximum. Seeds that
+    /// are not members are then sent a digest instead of a join, since after a region split all
+    /// nodes contact the same few seeds.
     pub fn is_at_maximum_interval(&self, parameters: &MembershipParameters) -> bool {
         self.joined && self.interval >= parameters.join_interval_maximum
     }
@@ -118,8 +118,8 @@
         addresses.choose(random).copied()
     }
 
-    /// Whether to request the platform's list of machines now; plans the next request. Requests back
-    /// off with jitter, since the platform serves only few readers.
+    /// Whether to request the platform's list of machines now; plans the next request. Requests
+    /// back off with jitter, since the platform serves only few readers.
     pub fn machine_list_due(
         &mut self,
         parameters: &MembershipParameters,
--- a/crates/thornbridge-core/src/membership/mod.rs
+++ b/crates/thornbridge-core/src/membership/mod.rs
@@ -127,8 +127,8 @@
         self.publish(context);
     }
 
-    /// Whether to request the platform's list of machines now; call after each event. The list may be
-    /// stale, so it only provides addresses to join through.
+    /// Whether to request the platform's list of machines now; call after each event. The list may
+    /// be stale, so it only provides addresses to join through.
     pub fn machine_list_due(&mut self, context: &mut Context<'_>) -> bool {
         let random = &mut *context.random;
         let due = self
@@ -230,8 +230,8 @@
         self.publish(context);
     }
 
-    /// Handles a pause of the process: pending probes are stale, and peers may have declared this node
-    /// dead.
+    /// Handles a pause of the process: pending probes are stale, and peers may have declared this
+    /// node dead.
     pub fn clock_jumped(&mut self, context: &mut Context<'_>) {
         self.expected_wake = Timestamp::MAX;
         self.handle_resume(context);
--- a/crates/thornbridge-core/src/membership/parameters.rs
+++ b/crates/thornbridge-core/src/membership/parameters.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MembershipParameters {
-    /// Rings over the node's own region; each gives a member one prober and one target. Enough that a
-    /// suspicion gets [`Self::suspicion_confirmations`] even if one prober has failed too.
+    /// Rings over the node's own region; each gives a member one prober and one target. Enough that
+    /// a suspicion gets [`Self::suspicion_confirmations`] even if one prober has failed too.
     pub regional_rings: u32,
     /// Rings over all members, which also spread updates between regions.
     pub global_rings: u32,
@@ -53,8 +53,8 @@
     pub machine_list_interval: Duration,
     /// Maximum interval between requests for the list of machines.
     pub machine_list_interval_maximum: Duration,
-    /// Times that each node sends a new member's record. Lower than for other updates, since records
-    /// are larger; anti-entropy repairs what is missed.
+    /// Times that each node sends a new member's record. Lower than for other updates, since
+    /// records are larger; anti-entropy repairs what is missed.
     pub record_transmissions: u32,
     /// Sustained rate of members sent in exchanges, in bytes per second.
     pub sync_bytes_per_second: u32,
--- a/crates/thornbridge-core/src/membership/probing.rs
+++ b/crates/thornbridge-core/src/membership/probing.rs
@@ -118,7 +118,8 @@
             let request = MembershipMessage::PingRequest { sequence, target };
             send(context, *prober, request);
         }
-        // Twice the timeout, since the other member waits for one timeout before it reports a failure.
+        // Twice the timeout, since the other member waits for one timeout before it reports a
+        // failure.
         let timeout = self.local_health.scale(self.parameters.probe_timeout) * 2;
         probe.deadline = context.now + timeout;
         probe.phase = ProbePhase::Indirect {
--- a/crates/thornbridge-core/src/membership/updates.rs
+++ b/crates/thornbridge-core/src/membership/updates.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Applies a record received from the member itself. Other members at the same address are declared
-    /// dead, since only one process can use the address.
+    /// Applies a record received from the member itself. Other members at the same address are
+    /// declared dead, since only one process can use the address.
     pub(super) fn handle_introduction(&mut self, context: &mut Context<'_>, member: MemberRecord) {
         let PeerEndpoint { node, address } = member.endpoint;
         let replaced: Vec<(NodeId, Incarnation)> = self
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Updates to piggyback on a message to a member, including its own suspicion or death, so that it
-    /// can refute.
+    /// Updates to piggyback on a message to a member, including its own suspicion or death, so that
+    /// it can refute.
     pub(super) fn updates_for(&mut self, now: Timestamp, node: NodeId) -> Vec<MemberUpdate> {
         let limit = self.parameters.updates_limit_bytes;
         let allowance = self.gossip_budget.allowance(now, limit);
--- a/crates/thornbridge-core/tests/members/cluster.rs
+++ b/crates/thornbridge-core/tests/members/cluster.rs
@@ -312,8 +312,8 @@
         })
     }
 
-    /// Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or `None` at the
-    /// limit.
+    /// Runs until the condition holds, checked every 10 ms. Returns the elapsed time, or `None` at
+    /// the limit.
     pub fn run_until(
         &mut self,
         limit: Duration,
