--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Updates speed, load and rejection statistics from a reply.
+    /// Updates slowdown, load and rejection statistics from a reply.
     fn observe_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -286,11 +286,11 @@
         match outcome {
             AttemptOutcome::Answered => {
                 let work = took.saturating_sub(server.round_trip());
-                let speed = server.slowdown(&parameters, now);
+                let slowdown = server.slowdown(&parameters, now);
                 if let Some(mean_work) = mean_work {
                     server.observe_slowdown(&parameters, now, work, mean_work);
                 }
-                let normalized = work.div_f64(speed.max(0.1));
+                let normalized = work.div_f64(slowdown.max(0.1));
                 let statistics = context.routes.statistics(record.route);
                 statistics.work.observe(&parameters, normalized);
             }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -263,8 +263,8 @@
         let Some(server) = context.servers.get(server) else {
             return work;
         };
-        let speed = server.slowdown(&context.servers.parameters, context.now);
-        server.round_trip() + work.mul_f64(speed)
+        let slowdown = server.slowdown(&context.servers.parameters, context.now);
+        server.round_trip() + work.mul_f64(slowdown)
     }
 
     /// Sends parts queued for a server while it has idle connections.
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -78,11 +78,11 @@
             return work;
         };
         // Clamped, so that a slow server does not delay its hedge.
-        let speed = server
+        let slowdown = server
             .slowdown(&context.servers.parameters, context.now)
             .clamp(0.7, 1.5);
         let expected_latency =
-            (server.round_trip() + work.mul_f64(speed)).max(parameters.hedge_minimum);
+            (server.round_trip() + work.mul_f64(slowdown)).max(parameters.hedge_minimum);
         expected_latency.max(spare)
     }
 
