--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -172,9 +172,10 @@
             member_signals: VecDeque::new(),
             members: 1,
             configuration_source: SourceReader::new(ViewKind::Configuration, views.clone())
-                .following(),
-            registry_source: SourceReader::new(ViewKind::Registry, views.clone()).following(),
-            evacuation_source: SourceReader::new(ViewKind::Evacuations, views.clone()).following(),
+                .follow_peers(),
+            registry_source: SourceReader::new(ViewKind::Registry, views.clone()).follow_peers(),
+            evacuation_source: SourceReader::new(ViewKind::Evacuations, views.clone())
+                .follow_peers(),
             view_gossip: ViewGossip::new(views.clone()),
             registry: Registry::default(),
             evacuations: Evacuations::default(),
--- a/crates/thornbridge-core/src/gateway/view_updates.rs
+++ b/crates/thornbridge-core/src/gateway/view_updates.rs
@@ -46,17 +46,17 @@
         let digest = self.digest();
         self.freshness.confirm_if_caught_up(digest);
         let is_joining = self.joins_via_seeds && self.now.since_epoch() < JOIN_GRACE_PERIOD;
-        let following = is_joining || !self.freshness.should_read(self.now);
-        self.report_reader_change(!following);
+        let follows_peers = is_joining || !self.freshness.should_read(self.now);
+        self.report_reader_change(!follows_peers);
         let (now, actions) = (self.now, &mut self.actions);
         let current = self.registry.revision();
         self.configuration_source
-            .set_following(now, actions, following, None);
+            .set_follows_peers(now, actions, follows_peers, None);
         self.registry_source
-            .set_following(now, actions, following, current);
-        let following = following || !self.parameters.views.evacuations;
+            .set_follows_peers(now, actions, follows_peers, current);
+        let follows_peers = follows_peers || !self.parameters.views.evacuations;
         self.evacuation_source
-            .set_following(now, actions, following, None);
+            .set_follows_peers(now, actions, follows_peers, None);
     }
 
     /// Oldest confirmation among the views that are read; `None` if one was never confirmed.
--- a/crates/thornbridge-core/src/gateway/views/freshness.rs
+++ b/crates/thornbridge-core/src/gateway/views/freshness.rs
@@ -58,14 +58,14 @@
         &mut self,
         now: Timestamp,
         own: ViewDigest,
-        theirs: ViewDigest,
+        peer_digest: ViewDigest,
         age: Duration,
     ) {
         if age > self.staleness_limit {
             return;
         }
         let at = Timestamp::ZERO + now.since_epoch().saturating_sub(age);
-        self.newer_peer_views = Some((theirs, at));
+        self.newer_peer_views = Some((peer_digest, at));
         self.confirm_if_caught_up(own);
     }
 
--- a/crates/thornbridge-core/src/gateway/views/gossip.rs
+++ b/crates/thornbridge-core/src/gateway/views/gossip.rs
@@ -243,21 +243,21 @@
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
         peer: SocketAddr,
-        theirs: ViewDigest,
-        their_age: Duration,
+        peer_digest: ViewDigest,
+        peer_age: Duration,
         view: ViewStatus,
     ) {
         let own = view.digest;
-        let peer_is_behind = is_behind(theirs, own) && !is_behind(own, theirs);
-        let peer_is_staler = view.age_at(now) + MIN_AGE_ADVANTAGE <= their_age;
-        if peer_is_behind || (peer_is_staler && !is_behind(own, theirs)) {
+        let peer_is_behind = is_behind(peer_digest, own) && !is_behind(own, peer_digest);
+        let peer_is_staler = view.age_at(now) + MIN_AGE_ADVANTAGE <= peer_age;
+        if peer_is_behind || (peer_is_staler && !is_behind(own, peer_digest)) {
             actions.push_back(send_digest(peer, view));
         }
-        if !is_behind(own, theirs) {
+        if !is_behind(own, peer_digest) {
             return;
         }
         let delay = self.pull_delay(peer, own);
-        self.pull_target = Some(self.choose_pull_target(now + delay, peer, theirs));
+        self.pull_target = Some(self.choose_pull_target(now + delay, peer, peer_digest));
     }
 
     /// Delay before a pull from a peer.
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -70,7 +70,7 @@
     last_answer_at: Timestamp,
     reachable: bool,
     /// Whether changes come from peers, so that no new read begins.
-    following: bool,
+    follows_peers: bool,
     /// When the store last confirmed the view.
     confirmed_at: Option<Timestamp>,
     /// Position in the reader order.
@@ -91,15 +91,15 @@
             consecutive_failures: 0,
             last_answer_at: Timestamp::ZERO,
             reachable: true,
-            following: false,
+            follows_peers: false,
             confirmed_at: None,
             rank: 0,
         }
     }
 
-    /// Starts the reader as a follower.
-    pub(in crate::gateway) fn following(mut self) -> Self {
-        self.following = true;
+    /// Starts the reader as a follower of its peers.
+    pub(in crate::gateway) fn follow_peers(mut self) -> Self {
+        self.follows_peers = true;
         self
     }
 
@@ -115,15 +115,15 @@
 
     /// Switches between following and reading. A read in flight is completed in either case.
     /// `known`: revision up to which the view is complete, from which a watch can start.
-    pub(in crate::gateway) fn set_following(
+    pub(in crate::gateway) fn set_follows_peers(
         &mut self,
         now: Timestamp,
         actions: &mut VecDeque<GatewayAction>,
-        following: bool,
+        follows_peers: bool,
         known: Option<StoreRevision>,
     ) {
-        self.following = following;
-        if following || self.state != ReaderState::Following {
+        self.follows_peers = follows_peers;
+        if follows_peers || self.state != ReaderState::Following {
             return;
         }
         self.revision = self.revision.max(known);
@@ -244,7 +244,7 @@
 
     fn start_read(&mut self, now: Timestamp, actions: &mut VecDeque<GatewayAction>) {
         // A list in progress is completed: no peer may have the view yet.
-        if self.following && self.page_cursor.is_none() {
+        if self.follows_peers && self.page_cursor.is_none() {
             self.state = ReaderState::Following;
             return;
         }
