--- a/crates/thornbridge-core/src/gateway/budget.rs
+++ b/crates/thornbridge-core/src/gateway/budget.rs
@@ -29,8 +29,8 @@
 /// Standard deviations by which the expected sum of all nodes' draws stays below the slack.
 const DRAW_DEVIATIONS: f64 = 4.0;
 
-/// Steps per window.
-const WINDOW_STEPS: u32 = 40;
+/// Buckets per window.
+const WINDOW_BUCKETS: u32 = 40;
 
 #[derive(Debug)]
 struct ServiceBudget {
@@ -156,13 +156,13 @@
     }
 
     fn budget(&mut self, service: ServiceKey) -> &mut ServiceBudget {
-        let step = self.parameters.window / WINDOW_STEPS;
+        let bucket_duration = self.parameters.window / WINDOW_BUCKETS;
         self.services
             .entry(service)
             .or_insert_with(|| ServiceBudget {
-                requests: SumWindow::new(step, WINDOW_STEPS),
+                requests: SumWindow::new(bucket_duration, WINDOW_BUCKETS),
                 // Longer than the window, since servers may count an attempt later than this node.
-                extra: SumWindow::new(step, WINDOW_STEPS + 2),
+                extra: SumWindow::new(bucket_duration, WINDOW_BUCKETS + 2),
             })
     }
 }
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -19,7 +19,7 @@
 /// Share of an announced keep-alive time left unused, since the server starts counting earlier.
 const KEEP_ALIVE_MARGIN_SHARE: f64 = 0.3;
 /// Upper bound of the unused keep-alive time; covers network delay and stalls of this node.
-const KEEP_ALIVE_MARGIN_MAXIMUM: Duration = Duration::from_millis(500);
+const MAX_KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 /// Factor on the number of owners: member lists differ, so more nodes may consider themselves owners.
 const OWNER_COUNT_FACTOR: u32 = 2;
 /// Time after startup during which connections are opened ahead of use even if they are scarce.
@@ -271,8 +271,8 @@
         let idle_time = announced.map_or(idle_limit, |announced| announced.min(idle_limit));
         server.idle.push(IdleConnection {
             connection,
-            since: now,
-            expires_at: now + idle_time,
+            idle_since: now,
+            idle_until: now + idle_time,
         });
         self.close_idle_if_leaving(actions, key);
     }
@@ -328,7 +328,7 @@
         let expired = server
             .idle
             .iter()
-            .filter(|idle| idle.expires_at <= now || server.may_be_dead(parameters, now, idle));
+            .filter(|idle| idle.idle_until <= now || server.may_be_dead(parameters, now, idle));
         let expired: Vec<ConnectionId> = expired.map(|idle| idle.connection).collect();
         for connection in expired {
             self.close(actions, connection);
@@ -363,5 +363,5 @@
 /// Part of an announced keep-alive time in which the connection may carry another attempt.
 fn usable_keep_alive(announced: Duration) -> Duration {
     let margin = announced.mul_f64(KEEP_ALIVE_MARGIN_SHARE);
-    announced.saturating_sub(margin.min(KEEP_ALIVE_MARGIN_MAXIMUM))
+    announced.saturating_sub(margin.min(MAX_KEEP_ALIVE_MARGIN))
 }
--- a/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -13,7 +13,7 @@
 /// Time beyond a round trip within which a server over its limit resets a fresh connection.
 const PROBATION_MARGIN: Duration = Duration::from_millis(4);
 /// Longest round trip taken into account by a probation.
-const PROBATION_ROUND_TRIP_MAXIMUM: Duration = Duration::from_millis(60);
+const MAX_PROBATION_ROUND_TRIP: Duration = Duration::from_millis(60);
 /// Time after opening within which the loss of an unused connection counts as a refusal.
 const REFUSAL_WINDOW: Duration = Duration::from_millis(400);
 
@@ -57,7 +57,7 @@
         server.open += 1;
         server.observe_round_trip(connect_time);
         if on_probation {
-            let until = now + connect_time.min(PROBATION_ROUND_TRIP_MAXIMUM) + PROBATION_MARGIN;
+            let until = now + connect_time.min(MAX_PROBATION_ROUND_TRIP) + PROBATION_MARGIN;
             entry.probation_until = Some(until);
             self.scarcity.begin_probation(connection, until);
             return None;
@@ -89,8 +89,8 @@
         if let Some(server) = self.servers.get_mut(&key) {
             server.idle.push(IdleConnection {
                 connection,
-                since: now,
-                expires_at: now + idle_time,
+                idle_since: now,
+                idle_until: now + idle_time,
             });
         }
     }
--- a/crates/thornbridge-core/src/gateway/servers/mod.rs
+++ b/crates/thornbridge-core/src/gateway/servers/mod.rs
@@ -37,8 +37,8 @@
 use thornbridge_config::routes::RoutedService;
 use thornbridge_proto::{BackEndId, RegionName, ServiceName, ZoneName};
 
-/// Steps of the window over which the maximum number of members is taken.
-const MEMBER_WINDOW_STEPS: u32 = 20;
+/// Buckets of the window over which the maximum number of members is taken.
+const MEMBER_WINDOW_BUCKETS: u32 = 20;
 
 /// Key of a server; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -95,13 +95,13 @@
         placement: Placement,
         own_address: SocketAddr,
     ) -> Self {
-        let step = parameters.members_memory / MEMBER_WINDOW_STEPS;
+        let bucket_duration = parameters.members_memory / MEMBER_WINDOW_BUCKETS;
         Self {
             subset: Subset::new(own_address, &placement),
             scarcity: Scarcity::new(parameters.scarcity_window),
             parameters,
             placement,
-            members: MaximumWindow::new(step, MEMBER_WINDOW_STEPS),
+            members: MaximumWindow::new(bucket_duration, MEMBER_WINDOW_BUCKETS),
             next_key: 0,
             next_connection: 0,
             servers: BTreeMap::new(),
--- a/crates/thornbridge-core/src/gateway/servers/scarcity.rs
+++ b/crates/thornbridge-core/src/gateway/servers/scarcity.rs
@@ -14,8 +14,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Steps of the window in which connections are counted.
-const WINDOW_STEPS: u32 = 20;
+/// Buckets of the window in which connections are counted.
+const WINDOW_BUCKETS: u32 = 20;
 /// Least number of refusals in the window for connections to count as scarce.
 const MIN_REFUSALS: u64 = 5;
 /// Highest ratio of opened to refused connections at which connections count as scarce.
@@ -32,10 +32,10 @@
 
 impl Scarcity {
     pub(super) fn new(window: Duration) -> Self {
-        let step = window / WINDOW_STEPS;
+        let bucket_duration = window / WINDOW_BUCKETS;
         Self {
-            opened: SumWindow::new(step, WINDOW_STEPS),
-            refused: SumWindow::new(step, WINDOW_STEPS),
+            opened: SumWindow::new(bucket_duration, WINDOW_BUCKETS),
+            refused: SumWindow::new(bucket_duration, WINDOW_BUCKETS),
             on_probation: BTreeSet::new(),
             last_reported: false,
         }
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -14,7 +14,7 @@
 
 /// Largest change of the logarithm of a slowdown by one observation. One slow answer may be a pause;
 /// two in a row indicate a slow server.
-const SLOWDOWN_STEP: f64 = 0.7;
+const MAX_SLOWDOWN_STEP: f64 = 0.7;
 /// Range to which observed slowdowns are clamped.
 const SLOWDOWN_RANGE: (f64, f64) = (0.2, 8.0);
 /// Slowdown added for a server that has just started.
@@ -87,9 +87,9 @@
 pub(in crate::gateway) struct IdleConnection {
     pub(in crate::gateway) connection: ConnectionId,
     /// When the connection became idle, and was last known to work.
-    pub(in crate::gateway) since: Timestamp,
+    pub(in crate::gateway) idle_since: Timestamp,
     /// When the connection is closed unless it is used.
-    pub(in crate::gateway) expires_at: Timestamp,
+    pub(in crate::gateway) idle_until: Timestamp,
 }
 
 /// A server of a service.
@@ -267,7 +267,7 @@
         // The weight of an observation grows with the time since the previous one.
         let intervals = age.as_secs_f64() / parameters.speed_interval.as_secs_f64();
         let weight = 1.0 - (1.0 - parameters.speed_weight).powf(intervals.max(1.0));
-        let step = ((observed - decayed) * weight).clamp(-SLOWDOWN_STEP, SLOWDOWN_STEP);
+        let step = ((observed - decayed) * weight).clamp(-MAX_SLOWDOWN_STEP, MAX_SLOWDOWN_STEP);
         self.log_slowdown = (decayed + step, now);
     }
 
@@ -377,7 +377,7 @@
         idle: &IdleConnection,
     ) -> bool {
         let mut stalled = self.stalled_attempts(parameters, now);
-        stalled.any(|attempt| idle.since <= attempt.sent_at)
+        stalled.any(|attempt| idle.idle_since <= attempt.sent_at)
     }
 
     /// Whether an attempt at the server has been in flight for longer than it should take.
--- a/crates/thornbridge-core/src/gateway/window.rs
+++ b/crates/thornbridge-core/src/gateway/window.rs
@@ -1,28 +1,28 @@
-//! Sliding-window sum and maximum, with the resolution of a step.
+//! Sliding-window sum and maximum, counted in buckets of equal duration.
 
 use crate::time::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-fn step_of(now: Timestamp, step: Duration) -> u64 {
-    (now.since_epoch().as_micros() / step.as_micros().max(1)) as u64
+fn bucket_index(now: Timestamp, bucket_duration: Duration) -> u64 {
+    (now.since_epoch().as_micros() / bucket_duration.as_micros().max(1)) as u64
 }
 
 /// Sum over a sliding window.
 #[derive(Debug)]
 pub(super) struct SumWindow {
-    step: Duration,
-    steps: u32,
-    /// Step and count, oldest first.
+    bucket_duration: Duration,
+    buckets: u32,
+    /// Bucket and count, oldest first.
     counts: VecDeque<(u64, u64)>,
     sum: u64,
 }
 
 impl SumWindow {
-    pub(super) fn new(step: Duration, steps: u32) -> Self {
+    pub(super) fn new(bucket_duration: Duration, buckets: u32) -> Self {
         Self {
-            step,
-            steps,
+            bucket_duration,
+            buckets,
             counts: VecDeque::new(),
             sum: 0,
         }
@@ -30,10 +30,10 @@
 
     pub(super) fn add(&mut self, now: Timestamp, count: u64) {
         self.evict_expired(now);
-        let step = step_of(now, self.step);
+        let bucket = bucket_index(now, self.bucket_duration);
         match self.counts.back_mut() {
-            Some((last, value)) if *last == step => *value += count,
-            _ => self.counts.push_back((step, count)),
+            Some((last, value)) if *last == bucket => *value += count,
+            _ => self.counts.push_back((bucket, count)),
         }
         self.sum += count;
     }
@@ -44,9 +44,10 @@
     }
 
     fn evict_expired(&mut self, now: Timestamp) {
-        let oldest = step_of(now, self.step).saturating_sub(u64::from(self.steps));
-        while let Some((step, count)) = self.counts.front() {
-            if *step >= oldest {
+        let oldest =
+            bucket_index(now, self.bucket_duration).saturating_sub(u64::from(self.buckets));
+        while let Some((bucket, count)) = self.counts.front() {
+            if *bucket >= oldest {
                 return;
             }
             self.sum -= count;
@@ -58,34 +59,39 @@
 /// Maximum of a value over a sliding window; the value holds until the next observation.
 #[derive(Debug)]
 pub(super) struct MaximumWindow {
-    step: Duration,
-    steps: u32,
-    /// Step and value, oldest first and strictly decreasing in value.
+    bucket_duration: Duration,
+    buckets: u32,
+    /// Bucket and value, oldest first and strictly decreasing in value.
     values: VecDeque<(u64, u64)>,
     last: u64,
 }
 
 impl MaximumWindow {
-    pub(super) fn new(step: Duration, steps: u32) -> Self {
+    pub(super) fn new(bucket_duration: Duration, buckets: u32) -> Self {
         Self {
-            step,
-            steps,
+            bucket_duration,
+            buckets,
             values: VecDeque::new(),
             last: 0,
         }
     }
 
     pub(super) fn observe(&mut self, now: Timestamp, value: u64) {
-        let step = step_of(now, self.step);
+        let bucket = bucket_index(now, self.bucket_duration);
         // The previous value was valid until now.
-        self.push(step, self.last);
-        self.push(step, value);
+        self.push(bucket, self.last);
+        self.push(bucket, value);
         self.last = value;
     }
 
     pub(super) fn maximum(&mut self, now: Timestamp) -> u64 {
-        let oldest = step_of(now, self.step).saturating_sub(u64::from(self.steps));
-        while self.values.front().is_some_and(|(step, _)| *step < oldest) {
+        let oldest =
+            bucket_index(now, self.bucket_duration).saturating_sub(u64::from(self.buckets));
+        while self
+            .values
+            .front()
+            .is_some_and(|(bucket, _)| *bucket < oldest)
+        {
             self.values.pop_front();
         }
         self.values
@@ -93,10 +99,10 @@
             .map_or(self.last, |(_, value)| (*value).max(self.last))
     }
 
-    fn push(&mut self, step: u64, value: u64) {
+    fn push(&mut self, bucket: u64, value: u64) {
         while self.values.back().is_some_and(|(_, last)| *last <= value) {
             self.values.pop_back();
         }
-        self.values.push_back((step, value));
+        self.values.push_back((bucket, value));
     }
 }
