--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -1,99 +1,99 @@
-//! When a request can be answered, and with what.
+//! When a request is answered, and with what.
 
-use super::leg::{Leg, LegState};
 use super::merging::greatest_records;
+use super::part::{Part, PartState};
 use super::request::{Progress, Request};
 use super::slice::Slice;
-use super::{Exchanges, Scope};
+use super::{Context, Exchanges};
 use crate::driver_action::CallerId;
-use crate::gateway::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
+use crate::gateway::action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus};
+use crate::gateway::caller_try::CallerTry;
 use crate::gateway::event::{RequestHead, ServerReply};
-use crate::gateway::notes::{AttemptNote, AttemptOutcome, RequestNote};
 use crate::gateway::parameters::ExchangeParameters;
-use crate::gateway::patience::CallerTry;
 use crate::gateway::routes::{ResolvedGather, ResolvedRoute, ResolvedTarget};
+use crate::gateway::telemetry::{AttemptOutcome, AttemptSummary, RequestSummary};
 use crate::time::Timestamp;
 use bytes::Bytes;
 use std::time::Duration;
 
-/// The answer of a request, where it can be answered now.
+/// Answer of a request, if it can be answered now.
 pub(super) fn answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
 ) -> Option<GatewayAnswer> {
     match &request.route.target {
-        ResolvedTarget::Gather(gather) => gathered(parameters, now, request, gather),
+        ResolvedTarget::Gather(gather) => gather_answer(parameters, now, request, gather),
         ResolvedTarget::Service(_) | ResolvedTarget::Split(_) => {
-            plain(parameters, now, request, request.legs.first()?)
+            single_part_answer(parameters, now, request, request.parts.first()?)
         }
     }
 }
 
-fn gathered(
+fn gather_answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
     gather: &ResolvedGather,
 ) -> Option<GatewayAnswer> {
     let progress = request.progress();
-    let enough = progress.answered >= gather.least_parts;
+    let enough = progress.answered >= gather.min_parts;
     let complete = progress.pending() == 0;
-    if enough && (complete || now >= request.answer_by) {
-        return Some(merge(request, gather, progress));
+    if enough && (complete || now >= request.soft_deadline) {
+        return Some(merged_answer(request, gather, progress));
     }
-    // A caller that comes back is served sooner than nodes that are silent answer, if they do.
-    let hopeless = match request.is_last_try() {
+    // A caller that will retry is served sooner by its retry than by silent owners.
+    let stalled = match request.is_caller_retry() {
         true => 0,
-        false => request.stuck(),
+        false => request.stalled_parts(),
     };
-    if progress.answered + progress.pending() < gather.least_parts + hopeless {
+    if progress.answered + progress.pending() < gather.min_parts + stalled {
         return Some(refusal(parameters, request, RefusalReason::TooFewShards));
     }
-    (now >= request.ends).then(|| refusal(parameters, request, RefusalReason::TimedOut))
+    (now >= request.deadline).then(|| refusal(parameters, request, RefusalReason::TimedOut))
 }
 
-fn merge(request: &Request, gather: &ResolvedGather, progress: Progress) -> GatewayAnswer {
-    let signatures: Vec<Bytes> = request.legs.iter().filter_map(signature_of).collect();
-    let replies = request.legs.iter().filter_map(reply_of);
+fn merged_answer(request: &Request, gather: &ResolvedGather, progress: Progress) -> GatewayAnswer {
+    let signatures: Vec<Bytes> = request.parts.iter().filter_map(signature_of).collect();
+    let replies = request.parts.iter().filter_map(reply_of);
     let reports = request.slices.iter().flat_map(Slice::records);
     let bodies = replies.map(|reply| &reply.body).chain(reports);
     GatewayAnswer::Gathered {
         signatures,
-        missing: progress.all - progress.answered,
+        missing: progress.total - progress.answered,
         records: greatest_records(bodies, gather.records),
     }
 }
 
-fn signature_of(leg: &Leg) -> Option<Bytes> {
-    match &leg.state {
-        LegState::Answered(reply) => reply.signature.clone(),
-        LegState::Reported(signature) => Some(signature.clone()),
+fn signature_of(part: &Part) -> Option<Bytes> {
+    match &part.state {
+        PartState::Answered(reply) => reply.signature.clone(),
+        PartState::AnsweredByOwner(signature) => Some(signature.clone()),
         _ => None,
     }
 }
 
-fn reply_of(leg: &Leg) -> Option<&ServerReply> {
-    match &leg.state {
-        LegState::Answered(reply) => Some(reply),
+fn reply_of(part: &Part) -> Option<&ServerReply> {
+    match &part.state {
+        PartState::Answered(reply) => Some(reply),
         _ => None,
     }
 }
 
-fn plain(
+fn single_part_answer(
     parameters: &ExchangeParameters,
     now: Timestamp,
     request: &Request,
-    leg: &Leg,
+    part: &Part,
 ) -> Option<GatewayAnswer> {
-    if let Some(reply) = reply_of(leg) {
-        return Some(forwarded(reply));
+    if let Some(reply) = reply_of(part) {
+        return Some(forwarded_answer(reply));
     }
-    if leg.is_failed() {
-        if let Some(reply) = &leg.failed_reply {
-            return Some(forwarded(reply));
+    if part.is_failed() {
+        if let Some(reply) = &part.failed_reply {
+            return Some(forwarded_answer(reply));
         }
-        let reason = match leg.failure {
+        let reason = match part.last_failure {
             None => RefusalReason::NoServer,
             Some(AttemptOutcome::NotRun | AttemptOutcome::WrongInstance) => {
                 RefusalReason::ServersBusy
@@ -102,10 +102,10 @@
         };
         return Some(refusal(parameters, request, reason));
     }
-    (now >= request.ends).then(|| refusal(parameters, request, RefusalReason::TimedOut))
+    (now >= request.deadline).then(|| refusal(parameters, request, RefusalReason::TimedOut))
 }
 
-fn forwarded(reply: &ServerReply) -> GatewayAnswer {
+fn forwarded_answer(reply: &ServerReply) -> GatewayAnswer {
     GatewayAnswer::Forwarded {
         status: reply.status,
         headers: reply.headers.clone(),
@@ -113,39 +113,39 @@
     }
 }
 
-/// A refusal, with a promise that holds.
+/// Refusal whose status reflects whether the request may have run.
 fn refusal(
     parameters: &ExchangeParameters,
     request: &Request,
     reason: RefusalReason,
 ) -> GatewayAnswer {
-    let promise = match (request.may_have_run(), reason) {
-        (false, _) => RefusalPromise::NotRun,
-        (true, RefusalReason::TimedOut) => RefusalPromise::TimedOut,
-        (true, _) => RefusalPromise::MayHaveRun,
+    let status = match (request.may_have_run(), reason) {
+        (false, _) => RefusalStatus::NotRun,
+        (true, RefusalReason::TimedOut) => RefusalStatus::TimedOut,
+        (true, _) => RefusalStatus::MayHaveRun,
     };
-    let retry_after = (promise == RefusalPromise::NotRun).then_some(parameters.retry_after);
+    let retry_after = (status == RefusalStatus::NotRun).then_some(parameters.retry_after);
     GatewayAnswer::Refused {
         reason,
-        promise,
+        status,
         retry_after,
     }
 }
 
-/// The refusal of a request that crashes servers, while it will be refused for so long.
-pub(super) fn crashes_servers(request: &Request, lasts: Duration) -> GatewayAnswer {
-    let (promise, retry_after) = match request.may_have_run() {
-        true => (RefusalPromise::MayHaveRun, None),
-        false => (RefusalPromise::NotRun, Some(lasts)),
+/// Refusal of a request that crashes servers, for the `remaining` time of its quarantine.
+pub(super) fn crash_refusal(request: &Request, remaining: Duration) -> GatewayAnswer {
+    let (status, retry_after) = match request.may_have_run() {
+        true => (RefusalStatus::MayHaveRun, None),
+        false => (RefusalStatus::NotRun, Some(remaining)),
     };
     GatewayAnswer::Refused {
         reason: RefusalReason::CrashesServers,
-        promise,
+        status,
         retry_after,
     }
 }
 
-/// When a refused caller is to come back.
+/// Time after which a refused caller should retry.
 pub(super) fn retry_after(answer: &GatewayAnswer) -> Option<Duration> {
     match answer {
         GatewayAnswer::Refused { retry_after, .. } => *retry_after,
@@ -153,7 +153,7 @@
     }
 }
 
-/// The outcome of an answer in a word.
+/// Outcome of an answer, for the log.
 pub(super) fn outcome(answer: &GatewayAnswer) -> &'static str {
     match answer {
         GatewayAnswer::Forwarded { status, .. } if *status >= 500 => "server_failure",
@@ -165,22 +165,22 @@
 }
 
 impl Exchanges {
-    /// Refuses a request before anything is done for it.
+    /// Refuses a request before any attempt.
     pub(super) fn refuse_unstarted(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         caller: CallerId,
         head: &RequestHead,
         route: &ResolvedRoute,
         reason: RefusalReason,
         retry_after: Duration,
     ) {
-        let note = RequestNote::unstarted(
+        let summary = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             route.route.name.clone(),
             route.version,
-            scope.registry,
+            context.registry,
             reason,
         );
         let retry_after = Some(retry_after);
@@ -188,85 +188,85 @@
             RefusalReason::Overloaded | RefusalReason::CrashesServers => CallerTry::Unknown,
             _ => CallerTry::First,
         };
-        let note = note.with_retry(caller_try, retry_after);
-        scope.actions.push_back(GatewayAction::Finished(note));
-        let promise = RefusalPromise::NotRun;
+        let summary = summary.with_retry(caller_try, retry_after);
+        context.actions.push_back(GatewayAction::Finished(summary));
+        let status = RefusalStatus::NotRun;
         let answer = GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
         };
-        scope
+        context
             .actions
             .push_back(GatewayAction::Answer { caller, answer });
     }
 
-    /// Tells the log how a request ended.
-    pub(super) fn note(
+    /// Logs how a request ended.
+    pub(super) fn log_outcome(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         outcome: &'static str,
         retry_after: Option<Duration>,
     ) {
         let progress = request.progress();
-        let mut notable = request.notes.clone();
-        self.add_open_attempts(scope, request, &mut notable);
-        let note = RequestNote {
+        let mut notable_attempts = request.attempt_summaries.clone();
+        self.add_unfinished_attempts(context, request, &mut notable_attempts);
+        let summary = RequestSummary {
             id: request.id.clone(),
             fingerprint: request.fingerprint,
             route: request.route.route.name.clone(),
             version: request.route.version,
-            registry: scope.registry,
-            took: scope.now.since(request.arrived),
-            objective: request.answer_by.since(request.arrived),
-            parts: progress.answered,
-            of: progress.all,
+            registry: context.registry,
+            duration: context.now.since(request.arrived),
+            answer_due: request.soft_deadline.since(request.arrived),
+            parts_answered: progress.answered,
+            parts_requested: progress.total,
             outcome,
-            notable,
-            attempts: request.legs.iter().map(|leg| leg.sent as usize).sum(),
-            denied: request.denied,
+            notable_attempts,
+            attempts_sent: request.parts.iter().map(|part| part.sent as usize).sum(),
+            extra_attempts_denied: request.budget_denials,
             caller_try: request.caller_try,
             retry_after,
             coordinator: request.coordinator(),
-            slices: request.slice_notes(),
+            slices: request.slice_summaries(),
         };
-        scope.actions.push_back(GatewayAction::Finished(note));
+        context.actions.push_back(GatewayAction::Finished(summary));
     }
 
-    fn add_open_attempts(
+    fn add_unfinished_attempts(
         &self,
-        scope: &Scope<'_>,
+        context: &Context<'_>,
         request: &Request,
-        notable: &mut Vec<AttemptNote>,
+        notable_attempts: &mut Vec<AttemptSummary>,
     ) {
-        let unanswered = request.legs.iter().filter(|leg| !leg.is_answered());
-        let queued = unanswered.clone().filter_map(|leg| leg.queued_at());
+        let unanswered = request.parts.iter().filter(|part| !part.is_answered());
+        let queued = unanswered.clone().filter_map(|part| part.queued_at());
         for (server, cause) in queued {
-            let Some(server) = scope.servers.get(server) else {
+            let Some(server) = context.servers.get(server) else {
                 continue;
             };
-            notable.push(AttemptNote {
+            notable_attempts.push(AttemptSummary {
                 server: server.id.clone(),
-                sent_after: scope.now.since(request.arrived),
+                sent_after: context.now.since(request.arrived),
                 cause,
                 outcome: AttemptOutcome::Waiting,
-                took: None,
+                duration: None,
             });
         }
-        for attempt in unanswered.flat_map(|leg| &leg.open) {
+        for attempt in unanswered.flat_map(|part| &part.in_flight) {
             let Some(record) = self.attempts.get(attempt) else {
                 continue;
             };
-            let Some(server) = scope.servers.get(record.carrier.server) else {
+            let Some(server) = context.servers.get(record.target.server) else {
                 continue;
             };
-            notable.push(AttemptNote {
+            notable_attempts.push(AttemptSummary {
                 server: server.id.clone(),
                 sent_after: record.sent.since(request.arrived),
                 cause: record.cause,
                 outcome: AttemptOutcome::Open,
-                took: None,
+                duration: None,
             });
         }
     }
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -1,41 +1,41 @@
-//! Which server gets a part next, and when.
+//! Choice of the server for a part, and queueing for its connections.
 
 use super::attempts::Attempt;
-use super::leg::LegState;
+use super::part::PartState;
 use super::request::Request;
-use super::{Carrier, Exchanges, Scope, repeatable};
+use super::{AttemptTarget, Context, Exchanges, is_repeatable};
 use crate::gateway::action::GatewayAction;
-use crate::gateway::notes::AttemptCause;
-use crate::gateway::servers::{Choice, OpenOutcome, ServerKey, Waiting};
+use crate::gateway::servers::{AcquireOutcome, Choice, QueuedPart, ServerKey};
+use crate::gateway::telemetry::AttemptCause;
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
 
-/// Work that is expected before anything is learnt, as a share of the latency objective.
+/// Work expected before any observation, as a share of the latency objective.
 const INITIAL_WORK_SHARE: f64 = 0.15;
-/// Attempts that did not run and do not count against a request's limit.
-const FREE_ATTEMPTS: u32 = 2;
+/// Rejected attempts per part that do not count against the attempt limit.
+const MAX_UNCOUNTED_ATTEMPTS: u32 = 2;
 
 impl Exchanges {
-    /// Does what is due for one part.
-    pub(super) fn advance_leg(
+    /// Runs what is due for one part.
+    pub(super) fn advance_part(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
     ) {
-        if !Self::may_send_now(scope, request) {
+        if !Self::may_send_now(context, request) {
             return;
         }
-        let leg = &request.legs[index];
-        let due = leg.look_at.is_some_and(|time| time <= scope.now);
-        match leg.state {
-            LegState::Wanting(cause) if leg.look_at.is_none() || due => {
-                self.dispatch(scope, request, index, cause);
+        let part = &request.parts[index];
+        let due = part.check_at.is_some_and(|time| time <= context.now);
+        match part.state {
+            PartState::NeedsAttempt(cause) if part.check_at.is_none() || due => {
+                self.dispatch(context, request, index, cause);
             }
-            LegState::Queued(server, cause) if due => {
-                self.queued_too_long(scope, request, index, server, cause);
+            PartState::Queued(server, cause) if due => {
+                self.queue_wait_exceeded(context, request, index, server, cause);
             }
-            LegState::Running if due => self.hedge(scope, request, index),
+            PartState::InFlight if due => self.hedge(context, request, index),
             _ => {}
         }
     }
@@ -43,293 +43,312 @@
     /// Sends a part to the best server, or queues it there.
     fn dispatch(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         cause: AttemptCause,
     ) {
         let look_interval = self.parameters.look_interval;
-        let Some(choice) = self.choose(scope, request, index) else {
-            let settling = scope.now.since_epoch() < self.parameters.settling;
-            let waits = settling || request.is_last_try();
-            let leg = &mut request.legs[index];
-            let evacuated = scope.servers.is_evacuated(leg.service);
-            let may_come = leg.sent == 0 && waits && !evacuated;
-            if may_come || scope.servers.has_other_server(leg.service, &leg.tried) {
-                // Its servers cannot be reached or are not registered; one may be soon.
-                leg.look_at = Some(scope.now + look_interval * 2);
+        let Some(choice) = self.choose(context, request, index) else {
+            let settling = context.now.since_epoch() < self.parameters.settling;
+            let may_wait = settling || request.is_caller_retry();
+            let part = &mut request.parts[index];
+            let evacuated = context.servers.is_evacuated(part.service);
+            let may_register = part.sent == 0 && may_wait && !evacuated;
+            if may_register || context.servers.has_other_server(part.service, &part.tried) {
+                // A server may register or become reachable.
+                part.check_at = Some(context.now + look_interval * 2);
             } else {
-                leg.state = LegState::Failed;
+                part.state = PartState::Failed;
             }
             return;
         };
-        self.queue_or_send(scope, request, index, choice.server, cause);
+        self.queue_or_send(context, request, index, choice.server, cause);
     }
 
-    /// Sends a part to a server, or queues it there; an extra attempt has to be paid for.
+    /// Sends a part to a server or queues it there, charging the budget for an extra attempt.
     fn queue_or_send(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
     ) {
-        let extra = request.legs[index].is_extra();
-        if extra && !self.pay(scope, request, index) {
+        let extra = request.parts[index].is_extra();
+        if extra && !self.charge_budget(context, request, index) {
             return;
         }
-        self.queue_or_send_paid(scope, request, index, server, cause);
+        self.queue_or_send_charged(context, request, index, server, cause);
     }
 
-    fn queue_or_send_paid(
+    fn queue_or_send_charged(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
     ) {
-        match scope
+        match context
             .servers
-            .connection_for(scope.now, scope.actions, server)
+            .acquire_connection(context.now, context.actions, server)
         {
-            OpenOutcome::Resting(connection) => {
-                let carrier = Carrier { server, connection };
-                self.send(scope, request, index, carrier, cause);
+            AcquireOutcome::Idle(connection) => {
+                let target = AttemptTarget { server, connection };
+                self.send(context, request, index, target, cause);
             }
-            OpenOutcome::Wait => {
-                let expected = self.expected(scope, request, server);
-                let waiting = Waiting {
+            AcquireOutcome::Pending => {
+                let expected = self.expected_latency(context, request, server);
+                let queued = QueuedPart {
                     caller: request.caller,
-                    leg: index,
-                    send_by: request.answer_by - expected,
-                    ends: request.ends,
+                    part: index,
+                    send_by: request.soft_deadline - expected,
+                    deadline: request.deadline,
                 };
-                if let Some(server) = scope.servers.get_mut(server) {
-                    server.waiting.push(waiting);
+                if let Some(server) = context.servers.get_mut(server) {
+                    server.queue.push(queued);
                 }
-                let wait = self.hedge_delay(scope, request, server);
-                let leg = &mut request.legs[index];
-                leg.state = LegState::Queued(server, cause);
-                leg.look_at = Some(scope.now + wait);
+                let wait = self.hedge_delay(context, request, server);
+                let part = &mut request.parts[index];
+                part.state = PartState::Queued(server, cause);
+                part.check_at = Some(context.now + wait);
             }
         }
     }
 
-    /// Takes an extra attempt from the budget. Where there is none, the part waits for it; a plain
-    /// request with nothing under way is over, unless its caller does not come back.
-    fn pay(&mut self, scope: &mut Scope<'_>, request: &mut Request, index: usize) -> bool {
-        let leg = &mut request.legs[index];
-        let paid = leg.paid || leg.take_lent(scope.now);
-        if paid || scope.budget.try_take(scope.now, leg.service) {
-            leg.paid = true;
+    /// Charges the budget for an extra attempt. If denied, the part is checked again later; a
+    /// request of one part with no attempt in flight fails instead, unless it is a caller's retry.
+    fn charge_budget(
+        &mut self,
+        context: &mut Context<'_>,
+        request: &mut Request,
+        index: usize,
+    ) -> bool {
+        let part = &mut request.parts[index];
+        let charged = part.charged || part.take_lent(context.now);
+        if charged || context.budget.try_take(context.now, part.service) {
+            part.charged = true;
             return true;
         }
-        request.denied += 1;
-        let waits = request.is_gather() || request.is_last_try();
-        let leg = &mut request.legs[index];
-        leg.denied = true;
-        if waits || !leg.open.is_empty() {
-            leg.look_at = Some(scope.now + self.parameters.look_interval * 4);
+        request.budget_denials += 1;
+        let may_wait = request.is_gather() || request.is_caller_retry();
+        let part = &mut request.parts[index];
+        part.budget_denied = true;
+        if may_wait || !part.in_flight.is_empty() {
+            part.check_at = Some(context.now + self.parameters.look_interval * 4);
         } else {
-            leg.state = LegState::Failed;
+            part.state = PartState::Failed;
         }
         false
     }
 
     pub(super) fn send(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
-        carrier: Carrier,
+        target: AttemptTarget,
         cause: AttemptCause,
     ) {
         self.next_attempt += 1;
         let attempt = AttemptId(self.next_attempt);
-        let expected = self.expected(scope, request, carrier.server);
-        scope.servers.occupy(carrier.connection, attempt);
-        scope.quarantine.sent(request.fingerprint);
-        let Some(server) = scope.servers.get_mut(carrier.server) else {
+        let expected = self.expected_latency(context, request, target.server);
+        context.servers.occupy(target.connection, attempt);
+        context.quarantine.record_attempt(request.fingerprint);
+        let Some(server) = context.servers.get_mut(target.server) else {
             return;
         };
-        server.sent(scope.now, attempt, expected);
+        server.attempt_sent(context.now, attempt, expected);
         let instance = server.id.clone();
         let record = Attempt {
             caller: Some(request.caller),
-            leg: index,
+            part: index,
             route: request.route.key,
-            carrier,
-            sent: scope.now,
+            target,
+            sent: context.now,
             cause,
-            cut_at: None,
+            cancel_at: None,
             suspect: Some(request.fingerprint),
         };
         self.attempts.insert(attempt, record);
-        let hedge_at = scope.now + self.hedge_delay(scope, request, carrier.server);
-        let may_hedge = repeatable(&request.route);
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Running;
-        leg.open.push(attempt);
-        leg.tried.push(carrier.server);
-        leg.sent += 1;
-        leg.paid = false;
-        leg.look_at = may_hedge.then_some(hedge_at);
-        scope.actions.push_back(GatewayAction::Send {
-            connection: carrier.connection,
+        let hedge_at = context.now + self.hedge_delay(context, request, target.server);
+        let may_hedge = is_repeatable(&request.route);
+        let part = &mut request.parts[index];
+        part.state = PartState::InFlight;
+        part.in_flight.push(attempt);
+        part.tried.push(target.server);
+        part.sent += 1;
+        part.charged = false;
+        part.check_at = may_hedge.then_some(hedge_at);
+        context.actions.push_back(GatewayAction::Send {
+            connection: target.connection,
             attempt,
             caller: request.caller,
             instance,
-            patience: request.ends.since(scope.now),
+            caller_timeout: request.deadline.since(context.now),
         });
     }
 
-    /// A part waits for a connection for longer than it should: another server may be better.
-    fn queued_too_long(
+    /// Moves a part that is queued for too long to another server, if a responsive one exists.
+    fn queue_wait_exceeded(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         queued_at: ServerKey,
         cause: AttemptCause,
     ) {
         let interval = self.parameters.look_interval * 2;
-        let mut excluded = request.legs[index].tried.clone();
+        let mut excluded = request.parts[index].tried.clone();
         excluded.push(queued_at);
-        let work = self.usual_work(scope, request);
-        let service = request.legs[index].service;
-        let other = scope
+        let work = self.mean_work(context, request);
+        let service = request.parts[index].service;
+        let other = context
             .servers
-            .choose(scope.now, scope.random, service, work, &excluded);
-        request.legs[index].look_at = Some(scope.now + interval);
+            .choose(context.now, context.random, service, work, &excluded);
+        request.parts[index].check_at = Some(context.now + interval);
         let Some(other) = other.filter(|other| !other.silent) else {
-            scope
+            context
                 .servers
-                .open_for_waiting(scope.now, scope.actions, queued_at);
+                .open_for_queued(context.now, context.actions, queued_at);
             return;
         };
-        scope.servers.stop_waiting(queued_at, request.caller, index);
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Wanting(cause);
-        // An extra attempt was paid for when it was queued.
-        self.queue_or_send_paid(scope, request, index, other.server, cause);
+        context
+            .servers
+            .remove_queued(queued_at, request.caller, index);
+        let part = &mut request.parts[index];
+        part.state = PartState::NeedsAttempt(cause);
+        // The budget was charged for an extra attempt when the part was first queued.
+        self.queue_or_send_charged(context, request, index, other.server, cause);
     }
 
     /// Whether the route allows another attempt of a part.
-    pub(super) fn may_send_more(&self, request: &Request, index: usize) -> bool {
-        let leg = &request.legs[index];
-        let most = request.attempts;
-        let ran = leg.ran();
-        let within = ran < most && leg.sent < most + FREE_ATTEMPTS;
-        within && (ran == 0 || repeatable(&request.route))
+    pub(super) fn allows_another_attempt(&self, request: &Request, index: usize) -> bool {
+        let part = &request.parts[index];
+        let max_attempts = request.max_attempts;
+        let possible_runs = part.possible_runs();
+        let below_limit =
+            possible_runs < max_attempts && part.sent < max_attempts + MAX_UNCOUNTED_ATTEMPTS;
+        below_limit && (possible_runs == 0 || is_repeatable(&request.route))
     }
 
     pub(super) fn choose(
         &self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &Request,
         index: usize,
     ) -> Option<Choice> {
-        let work = self.usual_work(scope, request);
-        let leg = &request.legs[index];
-        scope
+        let work = self.mean_work(context, request);
+        let part = &request.parts[index];
+        context
             .servers
-            .choose(scope.now, scope.random, leg.service, work, &leg.tried)
+            .choose(context.now, context.random, part.service, work, &part.tried)
     }
 
-    /// Work of a request of the route at a server of usual speed.
-    pub(super) fn usual_work(&self, scope: &mut Scope<'_>, request: &Request) -> Duration {
+    /// Mean work of the route's requests at a server of average speed.
+    pub(super) fn mean_work(&self, context: &mut Context<'_>, request: &Request) -> Duration {
         let objective = request.route.route.latency_objective;
-        let learnt = scope.routes.statistics(request.route.key).work.mean();
-        learnt.unwrap_or_else(|| objective.mul_f64(INITIAL_WORK_SHARE))
+        let observed = context.routes.statistics(request.route.key).work.mean();
+        observed.unwrap_or_else(|| objective.mul_f64(INITIAL_WORK_SHARE))
     }
 
-    fn expected(&self, scope: &mut Scope<'_>, request: &Request, server: ServerKey) -> Duration {
-        let work = self.usual_work(scope, request);
-        let Some(server) = scope.servers.get(server) else {
+    fn expected_latency(
+        &self,
+        context: &mut Context<'_>,
+        request: &Request,
+        server: ServerKey,
+    ) -> Duration {
+        let work = self.mean_work(context, request);
+        let Some(server) = context.servers.get(server) else {
             return work;
         };
-        let speed = server.speed(&scope.servers.parameters, scope.now);
-        server.round_trip() + work.mul_f64(speed)
+        let slowdown = server.slowdown(&context.servers.parameters, context.now);
+        server.round_trip() + work.mul_f64(slowdown)
     }
 
-    /// A server has a resting connection: sends what waits for it.
-    pub(super) fn serve_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
+    /// Sends parts queued for a server while it has idle connections.
+    pub(super) fn serve_queue(&mut self, context: &mut Context<'_>, key: ServerKey) {
         loop {
-            let Some(server) = scope.servers.get(key) else {
+            let Some(server) = context.servers.get(key) else {
                 return;
             };
-            let takes = server.takes_requests();
-            if takes && server.resting.is_empty() {
+            let accepts_requests = server.takes_requests();
+            if accepts_requests && server.idle.is_empty() {
                 return;
             }
-            let Some(waiting) = scope.servers.next_waiting(scope.now, key) else {
+            let Some(queued) = context.servers.dequeue(context.now, key) else {
                 return;
             };
-            self.serve_one(scope, key, waiting, takes);
+            self.serve_queued_part(context, key, queued, accepts_requests);
         }
     }
 
-    fn serve_one(
+    fn serve_queued_part(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         key: ServerKey,
-        waiting: Waiting,
-        server_takes: bool,
+        queued: QueuedPart,
+        server_accepts: bool,
     ) {
-        let Some(mut request) = self.requests.remove(&waiting.caller) else {
+        let Some(mut request) = self.requests.remove(&queued.caller) else {
             return;
         };
-        let state = &request.legs[waiting.leg].state;
-        if let LegState::Queued(server, cause) = *state
+        let state = &request.parts[queued.part].state;
+        if let PartState::Queued(server, cause) = *state
             && server == key
         {
-            self.serve_queued(scope, &mut request, waiting.leg, key, cause, server_takes);
+            self.dispatch_queued(
+                context,
+                &mut request,
+                queued.part,
+                key,
+                cause,
+                server_accepts,
+            );
         }
         let caller = request.caller;
         self.requests.insert(caller, request);
-        self.advance(scope, caller);
+        self.advance(context, caller);
     }
 
-    fn serve_queued(
+    fn dispatch_queued(
         &mut self,
-        scope: &mut Scope<'_>,
+        context: &mut Context<'_>,
         request: &mut Request,
         index: usize,
         server: ServerKey,
         cause: AttemptCause,
-        server_takes: bool,
+        server_accepts: bool,
     ) {
-        if server_takes
-            && Self::may_send_now(scope, request)
-            && let OpenOutcome::Resting(connection) =
-                scope
+        if server_accepts
+            && Self::may_send_now(context, request)
+            && let AcquireOutcome::Idle(connection) =
+                context
                     .servers
-                    .connection_for(scope.now, scope.actions, server)
+                    .acquire_connection(context.now, context.actions, server)
         {
-            let carrier = Carrier { server, connection };
-            self.send(scope, request, index, carrier, cause);
+            let target = AttemptTarget { server, connection };
+            self.send(context, request, index, target, cause);
             return;
         }
-        let leg = &mut request.legs[index];
-        leg.state = LegState::Wanting(cause);
-        leg.look_at = None;
+        let part = &mut request.parts[index];
+        part.state = PartState::NeedsAttempt(cause);
+        part.check_at = None;
     }
 
-    /// Servers that take nothing any more, or cannot be reached: what waits there goes elsewhere.
-    pub(super) fn strand_waiting(&mut self, scope: &mut Scope<'_>, key: ServerKey) {
-        let mut stranded = Vec::new();
-        while let Some(waiting) = scope.servers.next_waiting(scope.now, key) {
-            stranded.push(waiting);
+    /// Moves the parts queued for a server that is leaving or unreachable to other servers.
+    pub(super) fn reassign_queued(&mut self, context: &mut Context<'_>, key: ServerKey) {
+        let mut displaced = Vec::new();
+        while let Some(queued) = context.servers.dequeue(context.now, key) {
+            displaced.push(queued);
         }
-        for waiting in stranded {
-            self.serve_one(scope, key, waiting, false);
+        for queued in displaced {
+            self.serve_queued_part(context, key, queued, false);
         }
     }
 }
 
-/// The attempts of a part that may still answer.
-pub(super) fn remove_open(open: &mut Vec<AttemptId>, attempt: AttemptId) {
-    open.retain(|other| *other != attempt);
+pub(super) fn remove_in_flight(in_flight: &mut Vec<AttemptId>, attempt: AttemptId) {
+    in_flight.retain(|other| *other != attempt);
 }
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -1,15 +1,15 @@
-//! Events of a gateway, handed to its parts.
+//! Event dispatch, timers and readiness of a gateway.
 
 use super::Gateway;
-use super::action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason};
-use super::awaiting::AwaitingRequest;
+use super::action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus};
+use super::caller_try::CallerTry;
 use super::event::{GatewayEvent, RequestHead};
-use super::exchange::{Exchanges, Scope};
-use super::notes::{GatewayChange, RequestNote, ViewOrigin};
+use super::exchange::{Context, Exchanges};
 use super::parameters::GatewayParameters;
-use super::patience::CallerTry;
+use super::pending::PendingRequest;
 use super::routes::RouteTable;
-use super::views::peers::send_digest;
+use super::telemetry::{GatewayChange, RequestSummary, ViewOrigin};
+use super::views::gossip::send_digest;
 use crate::driver_action::CallerId;
 use crate::membership::Membership;
 use crate::time::Timestamp;
@@ -18,71 +18,74 @@
 use std::time::Duration;
 use thornbridge_proto::peer::slice::SliceMessage;
 
-/// Time between looks at servers without a connection.
-const WARMING_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after a pause of the process in which messages may be older than they say.
+/// Interval of housekeeping: registry expiry, slice assignment, connection warm-up.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
+/// How long after a process pause received messages count as stale.
 const STALE_AFTER_PAUSE: Duration = Duration::from_millis(100);
-/// Time after a start at which a node is ready though some shards have no connection.
-const READY_ANYWAY: Duration = Duration::from_millis(1_500);
+/// Time after start at which a node becomes ready even if some shards have no connection.
+const WARM_UP_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl Gateway {
-    /// Takes one event. `now` must not go back.
+    /// Processes one event. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Timestamp, event: GatewayEvent) {
         self.now = now;
         match event {
             GatewayEvent::Started => self.started(),
             GatewayEvent::Request { caller, head } => self.request(caller, head),
-            GatewayEvent::CallerGone { caller } => {
-                self.awaiting.caller_gone(caller);
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.caller_gone(&mut scope, caller);
+            GatewayEvent::CallerDisconnected { caller } => {
+                self.pending.caller_disconnected(caller);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.caller_disconnected(&mut context, caller);
             }
-            GatewayEvent::AnswerDelayed { by } => self.exchanges.answer_delayed(by),
-            GatewayEvent::ConnectionOpened { connection, took } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.connection_opened(&mut scope, connection, took);
+            GatewayEvent::AnswerDelayed { delay } => self.exchanges.observe_answer_delay(delay),
+            GatewayEvent::ConnectionOpened {
+                connection,
+                connect_time,
+            } => {
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.connection_opened(&mut context, connection, connect_time);
             }
             GatewayEvent::ConnectionLost { connection } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.connection_lost(&mut scope, connection);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.connection_lost(&mut context, connection);
             }
             GatewayEvent::Replied { attempt, reply } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.replied(&mut scope, attempt, reply);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.replied(&mut context, attempt, reply);
             }
             GatewayEvent::Failed { attempt, failure } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.failed(&mut scope, attempt, failure);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.failed(&mut context, attempt, failure);
             }
             GatewayEvent::SourceReplied { kind, read, result } => {
                 self.source_replied(kind, read, result);
             }
             GatewayEvent::PeerMessage { from, message } => self.peer_message(from, message),
             GatewayEvent::TaskNotSent { owner, slice } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.task_not_sent(&mut scope, owner, slice);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.task_not_sent(&mut context, owner, slice);
             }
-            GatewayEvent::RelayUnusable { caller } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.relay_unusable(&mut scope, caller);
+            GatewayEvent::RelayMalformed { caller } => {
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.relay_malformed(&mut context, caller);
             }
             GatewayEvent::PeerLinkDown { address } => {
-                let (exchanges, mut scope) = self.exchanges();
-                exchanges.peer_lost(&mut scope, address);
+                let (exchanges, mut context) = self.exchanges();
+                exchanges.peer_link_lost(&mut context, address);
                 self.with_membership(|membership, context| membership.link_down(context, address));
             }
             GatewayEvent::TimerDue => self.timer_due(),
-            GatewayEvent::StopAsked => self.stop_asked(),
+            GatewayEvent::StopRequested => self.stop_requested(),
             GatewayEvent::Reconfigured { parameters } => self.reconfigure(*parameters),
             GatewayEvent::Paused { .. } => {
-                self.stale_until = self.now + STALE_AFTER_PAUSE;
+                self.messages_stale_until = self.now + STALE_AFTER_PAUSE;
                 self.with_membership(|membership, context| membership.clock_jumped(context));
             }
         }
-        self.settle();
+        self.finish_event();
     }
 
-    /// When [`GatewayEvent::TimerDue`] is wanted, at the latest.
+    /// Latest time at which the driver must send [`GatewayEvent::TimerDue`].
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let staged = self.staging.get();
         let staged = staged.map(|staged| staged.since + self.parameters.views.staging);
@@ -91,21 +94,21 @@
             Some(self.configuration_source.next_timeout()),
             Some(self.registry_source.next_timeout()),
             Some(self.evacuation_source.next_timeout()),
-            self.peer_views.next_timeout(self.digest()),
+            self.view_gossip.next_timeout(self.digest()),
             self.freshness.next_timeout(self.now),
             self.servers.next_timeout(),
             self.exchanges.next_timeout(),
             self.quarantine.next_timeout(),
-            Some(self.next_warming),
-            self.awaiting.next_timeout(),
+            Some(self.next_maintenance),
+            self.pending.next_timeout(),
             staged,
         ];
         timeouts.into_iter().flatten().min()
     }
 
-    /// The requests under way, and everything that they need.
-    pub(super) fn exchanges(&mut self) -> (&mut Exchanges, Scope<'_>) {
-        let scope = Scope {
+    /// Splits the borrow of `self` into the in-flight requests and the state that they use.
+    pub(super) fn exchanges(&mut self) -> (&mut Exchanges, Context<'_>) {
+        let context = Context {
             now: self.now,
             random: &mut self.random,
             actions: &mut self.actions,
@@ -115,10 +118,10 @@
             slices: &mut self.slices,
             quarantine: &mut self.quarantine,
             own_address: self.own_address,
-            stale: self.now < self.stale_until,
-            registry: self.registry.upto().unwrap_or_default(),
+            messages_may_be_stale: self.now < self.messages_stale_until,
+            registry: self.registry.revision().unwrap_or_default(),
         };
-        (&mut self.exchanges, scope)
+        (&mut self.exchanges, context)
     }
 
     fn started(&mut self) {
@@ -133,48 +136,49 @@
     fn timer_due(&mut self) {
         self.with_membership(|membership, context| {
             membership.timer_due(context);
-            // There is no list of machines to ask for; asking moves the time of the next one on.
-            membership.wants_machines(context);
+            // A gateway has no machine list to request. The call reschedules the membership timer,
+            // which would otherwise stay due.
+            membership.machine_list_due(context);
         });
         self.read_sources();
-        let own = self.view_age();
-        self.peer_views
-            .timer_due(self.now, &mut self.random, &mut self.actions, own);
+        let view_status = self.view_status();
+        self.view_gossip
+            .timer_due(self.now, &mut self.random, &mut self.actions, view_status);
         self.servers.timer_due(self.now, &mut self.actions);
         self.quarantine
             .timer_due(self.now, &mut self.random, &mut self.actions);
-        if self.next_warming <= self.now {
-            self.next_warming = self.now + WARMING_INTERVAL;
+        if self.next_maintenance <= self.now {
+            self.next_maintenance = self.now + MAINTENANCE_INTERVAL;
             let kept = self.parameters.views.departures_kept;
-            self.registry.forget(self.now, kept);
+            self.registry.expire_tombstones(self.now, kept);
             let released = self.registry.release_held(self.now);
-            self.registry_changed(released, ViewOrigin::Own);
-            let over = self.evacuations.forget_carried(self.now);
-            self.evacuations_changed(over, ViewOrigin::Own);
-            self.divide();
+            self.apply_registry_changes(released, ViewOrigin::Own);
+            let ended = self.evacuations.expire_carried_over(self.now);
+            self.apply_evacuation_changes(ended, ViewOrigin::Own);
+            self.update_slices();
             self.open_links();
             self.servers.keep_warm(self.now, &mut self.actions);
         }
-        for request in self.awaiting.take_overdue(self.now) {
+        for request in self.pending.take_expired(self.now) {
             self.refuse_without_configuration(request);
         }
-        let (exchanges, mut scope) = self.exchanges();
-        exchanges.connections_proved(&mut scope);
-        exchanges.timer_due(&mut scope);
+        let (exchanges, mut context) = self.exchanges();
+        exchanges.end_connection_probation(&mut context);
+        exchanges.timer_due(&mut context);
     }
 
-    /// Opens links to the owners that this node would ask, by telling them what it knows.
+    /// Opens links to prospective slice owners by sending each a view digest.
     fn open_links(&mut self) {
         for owner in self.slices.links_to_open(self.now) {
-            self.slices.spoke_to(self.now, owner);
-            let digest = send_digest(owner, self.view_age());
+            self.slices.message_sent(self.now, owner);
+            let digest = send_digest(owner, self.view_status());
             self.actions.push_back(digest);
         }
     }
 
-    /// Divides gathers anew where what that goes by changed.
-    pub(super) fn divide(&mut self) {
-        if !std::mem::take(&mut self.division_stale) {
+    /// Reassigns slices if members, shards or servers changed.
+    pub(super) fn update_slices(&mut self) {
+        if !std::mem::take(&mut self.slices_outdated) {
             return;
         }
         let mut owned = self.slices.divide(&self.routes, &self.servers);
@@ -182,29 +186,32 @@
             let configuration = Arc::clone(&staged.configuration);
             let mut routes = RouteTable::default();
             routes.apply(&configuration, &mut self.servers);
-            owned.extend(self.slices.divide_ahead(&routes, &self.servers));
+            owned.extend(self.slices.staged_ownership(&routes, &self.servers));
         }
         self.servers.set_ownership(&owned);
     }
 
-    /// The caller waited for a configuration in vain; it is told to come back while it can.
-    fn refuse_without_configuration(&mut self, request: AwaitingRequest) {
-        let caller_try = self.awaiting.judge(&request);
-        let AwaitingRequest {
+    /// Refuses a request because no configuration is active, with a time to retry.
+    fn refuse_without_configuration(&mut self, request: PendingRequest) {
+        let caller_try = self.pending.classify(&request);
+        let PendingRequest {
             caller,
             head,
             arrived,
             ..
         } = request;
         let waited = self.now.since(arrived);
-        let left = head.patience.unwrap_or_default().saturating_sub(waited);
+        let remaining = head
+            .caller_timeout
+            .unwrap_or_default()
+            .saturating_sub(waited);
         let share = self.parameters.exchange.retry_after_share;
-        let retry_after = left
+        let retry_after = remaining
             .mul_f64(share)
             .max(self.parameters.exchange.retry_after);
         let refusal = Refusal {
             reason: RefusalReason::NoConfiguration,
-            promise: RefusalPromise::NotRun,
+            status: RefusalStatus::NotRun,
             retry_after: Some(retry_after),
             caller_try,
             waited,
@@ -212,7 +219,6 @@
         self.refuse(caller, &head, refusal);
     }
 
-    /// Takes new tunable values.
     fn reconfigure(&mut self, parameters: GatewayParameters) {
         self.budget.set_parameters(parameters.budget.clone());
         self.servers.parameters = parameters.servers.clone();
@@ -220,7 +226,7 @@
         self.slices.set_parameters(parameters.slices.clone());
         self.quarantine
             .set_parameters(parameters.quarantine.clone());
-        self.division_stale = true;
+        self.slices_outdated = true;
         for source in self.sources_mut() {
             source.set_parameters(parameters.views.clone());
         }
@@ -231,7 +237,7 @@
         self.actions.push_back(GatewayAction::Changed(change));
     }
 
-    fn stop_asked(&mut self) {
+    fn stop_requested(&mut self) {
         if self.stopping {
             return;
         }
@@ -243,114 +249,115 @@
         self.with_membership(Membership::leave);
     }
 
-    /// Puts a configuration in force where it may be, and reports readiness.
-    fn settle(&mut self) {
-        self.judge_freshness();
-        if self.staged_may_start() {
-            self.put_in_force();
+    /// Activates a staged configuration, routes waiting requests and updates readiness.
+    fn finish_event(&mut self) {
+        self.update_reader_role();
+        if self.staged_is_ready() {
+            self.activate_staged();
         }
-        if self.knows_views() {
-            for waiting in self.awaiting.take_all() {
-                self.route(waiting.caller, waiting.head, waiting.arrived);
+        if self.has_views() {
+            for request in self.pending.take_all() {
+                self.route(request.caller, request.head, request.arrived);
             }
         }
-        let ready = self.may_serve();
+        let ready = self.is_ready_to_serve();
         if ready != self.ready {
             self.ready = ready;
             self.actions.push_back(GatewayAction::SetReady { ready });
         }
     }
 
-    fn may_serve(&self) -> bool {
-        if self.stopping || !self.knows_views() {
+    /// Whether the views are loaded and every shard with servers has a connection, or the warm-up
+    /// time is over.
+    fn is_ready_to_serve(&self) -> bool {
+        if self.stopping || !self.has_views() {
             return false;
         }
-        if self.ready || self.now.since_epoch() >= READY_ANYWAY {
+        if self.ready || self.now.since_epoch() >= WARM_UP_TIMEOUT {
             return true;
         }
         let shards = self.routes.shards();
         let warm = |shard| self.servers.is_warm(shard) || !self.servers.has_server(shard);
-        self.servers.taking_requests() > 0 && shards.into_iter().all(warm)
+        self.servers.available_count() > 0 && shards.into_iter().all(warm)
     }
 
     fn request(&mut self, caller: CallerId, head: RequestHead) {
-        if self.knows_views() {
+        if self.has_views() {
             self.route(caller, head, self.now);
             return;
         }
         let share = self.parameters.exchange.awaiting_share;
-        if let Some(request) = self.awaiting.add(self.now, caller, head, share) {
+        if let Some(request) = self.pending.add(self.now, caller, head, share) {
             self.refuse_without_configuration(request);
         }
     }
 
     pub(super) fn slice_message(&mut self, peer: SocketAddr, message: SliceMessage) {
-        let (exchanges, mut scope) = self.exchanges();
+        let (exchanges, mut context) = self.exchanges();
         match message {
-            SliceMessage::Ask { task, .. } if scope.stale => {
-                exchanges.refuse_slice(&mut scope, peer, task.slice);
+            SliceMessage::Ask { task, .. } if context.messages_may_be_stale => {
+                exchanges.refuse_slice(&mut context, peer, task.slice);
             }
             SliceMessage::Ask { task, request } => {
-                exchanges.serve_slice(&mut scope, peer, task, request);
+                exchanges.serve_slice(&mut context, peer, task, request);
             }
             SliceMessage::Report { slice, report } => {
-                exchanges.slice_reported(&mut scope, peer, slice, report, false);
+                exchanges.slice_reported(&mut context, peer, slice, report, false);
             }
             SliceMessage::ReportAndRequest { slice, report } => {
-                exchanges.slice_reported(&mut scope, peer, slice, report, true);
+                exchanges.slice_reported(&mut context, peer, slice, report, true);
             }
             SliceMessage::Grant {
                 slice,
                 attempts,
                 lent,
             } => {
-                exchanges.attempts_granted(&mut scope, peer, slice, attempts, &lent);
+                exchanges.attempts_granted(&mut context, peer, slice, attempts, &lent);
             }
             SliceMessage::Stop { slice, reason } => {
-                exchanges.slice_stopped(&mut scope, peer, slice, reason);
+                exchanges.slice_stopped(&mut context, peer, slice, reason);
             }
         }
     }
 
-    /// Starts a request that arrived then, on its route.
+    /// Starts a request on its route, or refuses it if it has no identity or no route matches.
     fn route(&mut self, caller: CallerId, head: RequestHead, arrived: Timestamp) {
         if head.id.is_none() {
-            let refusal =
-                Refusal::not_to_repeat(RefusalReason::NoIdentity, RefusalPromise::BadRequest);
+            let refusal = Refusal::permanent(RefusalReason::NoIdentity, RefusalStatus::BadRequest);
             self.refuse(caller, &head, refusal);
             return;
         }
         let Some(route) = self.routes.find(&head.host, &head.path) else {
-            let refusal = Refusal::not_to_repeat(RefusalReason::NoRoute, RefusalPromise::NotFound);
+            let refusal = Refusal::permanent(RefusalReason::NoRoute, RefusalStatus::NotFound);
             self.refuse(caller, &head, refusal);
             return;
         };
-        let (exchanges, mut scope) = self.exchanges();
-        exchanges.start(&mut scope, caller, head, route, arrived);
+        let (exchanges, mut context) = self.exchanges();
+        exchanges.start(&mut context, caller, head, route, arrived);
     }
 
     fn refuse(&mut self, caller: CallerId, head: &RequestHead, refusal: Refusal) {
         let Refusal {
             reason,
-            promise,
+            status,
             retry_after,
             caller_try,
             waited,
         } = refusal;
-        let mut note = RequestNote::unstarted(
+        let mut summary = RequestSummary::unstarted(
             head.id.clone().unwrap_or_default(),
             head.fingerprint,
             String::new(),
             self.routes.version,
-            self.registry.upto().unwrap_or_default(),
+            self.registry.revision().unwrap_or_default(),
             reason,
         );
-        note.took = waited;
-        let note = note.with_retry(caller_try, retry_after);
-        self.actions.push_back(GatewayAction::Finished(note));
+        summary.duration = waited;
+        let summary = summary.with_retry(caller_try, retry_after);
+        self.actions.push_back(GatewayAction::Finished(summary));
         let answer = GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
         };
         self.actions
@@ -358,22 +365,22 @@
     }
 }
 
-/// Why a request that took no route is refused, and what its caller is told.
+/// Refusal of a request that was not routed.
 struct Refusal {
     reason: RefusalReason,
-    promise: RefusalPromise,
+    status: RefusalStatus,
     retry_after: Option<Duration>,
     caller_try: CallerTry,
-    /// Time that it waited in this node.
+    /// Time that the request waited in this node.
     waited: Duration,
 }
 
 impl Refusal {
-    /// A refusal after which trying again would not help.
-    fn not_to_repeat(reason: RefusalReason, promise: RefusalPromise) -> Self {
+    /// A refusal that a retry would not change.
+    fn permanent(reason: RefusalReason, status: RefusalStatus) -> Self {
         Self {
             reason,
-            promise,
+            status,
             retry_after: None,
             caller_try: CallerTry::Unknown,
             waited: Duration::ZERO,
--- a/crates/thornbridge-core/src/gateway/members.rs
+++ b/crates/thornbridge-core/src/gateway/members.rs
@@ -1,9 +1,9 @@
-//! The members of a gateway's cluster: who shares the budgets, and who watches the store closely.
+//! Membership of a gateway's cluster: reader order, members that share budgets and connections.
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::notes::GatewayChange;
-use super::servers::Sharer;
+use super::servers::MemberLocation;
+use super::telemetry::GatewayChange;
 use crate::context::Context;
 use crate::driver_action::Action;
 use crate::membership::{MemberView, Membership};
@@ -11,7 +11,7 @@
 use thornbridge_proto::peer::membership::MemberRecord;
 
 impl Gateway {
-    /// Calls the membership, and hands on what it wants and says.
+    /// Runs a call on the membership; forwards the actions and signals that the call emitted.
     pub(super) fn with_membership(&mut self, call: impl FnOnce(&mut Membership, &mut Context<'_>)) {
         let mut context = Context::new(
             self.now,
@@ -31,45 +31,49 @@
     }
 
     pub(super) fn member_action(&mut self, action: Action) {
-        // Its changes of state show in the number of members, which is told when it changes.
+        // `members_changed` reports state changes of members.
         if let Action::SendPeer { to, message } = action {
             self.actions
                 .push_back(GatewayAction::SendPeer { to, message });
         }
     }
 
-    /// The budgets are shared by so many members; tells it where that changes what this node may use.
-    fn share_budget(&mut self, members: usize) {
-        let before = self.budget.sharers();
+    /// Sets the number of members that share the budgets; reports a change of the member bound.
+    fn update_budget_members(&mut self, members: usize) {
+        let before = self.budget.member_bound();
         self.budget.set_members(members);
-        let sharers = self.budget.sharers();
-        if sharers != before {
-            let change = GatewayChange::BudgetSharers { sharers };
+        let members = self.budget.member_bound();
+        if members != before {
+            let change = GatewayChange::BudgetMembers { members };
             self.actions.push_back(GatewayAction::Changed(change));
         }
     }
 
     pub(super) fn members_changed(&mut self, view: &MemberView) {
         let own = view.own().endpoint.address;
-        let own_sharer = sharer(view.own());
-        let members = view.members().iter().map(sharer);
-        self.peer_views.set_peers(&own_sharer, members);
+        let own_location = member_location(view.own());
+        let members = view.members().iter().map(member_location);
+        self.view_gossip.set_peers(&own_location, members);
         let endpoints = view.members().iter().map(|member| member.endpoint);
         self.quarantine
             .set_members(self.now, &mut self.actions, own, endpoints.collect());
-        let sharers: Vec<Sharer> = view.taking_work().map(sharer).collect();
-        let place = sharers.iter().position(|member| member.address == own);
-        let rank = place.unwrap_or(sharers.len());
+        let accepting_members: Vec<MemberLocation> =
+            view.accepting_work().map(member_location).collect();
+        let position = accepting_members
+            .iter()
+            .position(|member| member.address == own);
+        let rank = position.unwrap_or(accepting_members.len());
         self.freshness.set_rank(rank);
         for source in self.sources_mut() {
             source.set_rank(rank);
         }
-        self.peer_views.set_readers(&own_sharer, &sharers, rank);
-        let members = sharers.len().max(1);
-        self.share_budget(members);
-        self.slices.set_members(sharers.clone());
-        self.division_stale = true;
-        self.servers.set_sharers(self.now, sharers);
+        self.view_gossip
+            .set_readers(&own_location, &accepting_members, rank);
+        let members = accepting_members.len().max(1);
+        self.update_budget_members(members);
+        self.slices.set_members(accepting_members.clone());
+        self.slices_outdated = true;
+        self.servers.set_members(self.now, accepting_members);
         if members != self.members {
             self.members = members;
             let change = GatewayChange::Members { members };
@@ -78,8 +82,8 @@
     }
 }
 
-fn sharer(member: &MemberRecord) -> Sharer {
-    Sharer {
+fn member_location(member: &MemberRecord) -> MemberLocation {
+    MemberLocation {
         address: member.endpoint.address,
         zone: member.zone.clone(),
     }
--- a/crates/thornbridge-core/src/gateway/mod.rs
+++ b/crates/thornbridge-core/src/gateway/mod.rs
@@ -1,73 +1,71 @@
-//! The gateway: plain HTTP requests routed to the servers of a registry.
+//! HTTP gateway: routes plain HTTP requests to the servers listed in a registry.
 //!
-//! Beside the query and action protocols of [`crate::Node`], a cluster can serve HTTP callers
-//! whose servers come and go by themselves. [`Gateway`] holds every decision of that: which
-//! server gets a request, when another one gets it too, when a gather over many shards is
-//! complete enough, which configuration is in force, and what to believe of servers, store and
-//! peers. Like [`crate::Node`] it has no I/O: it takes a [`GatewayEvent`] with the present time
-//! and gives back [`GatewayAction`]s.
+//! [`Gateway`] is a state machine without I/O. A driver passes [`GatewayEvent`]s with the current
+//! time to [`Gateway::handle`] and carries out the [`GatewayAction`]s that it returns. The gateway
+//! decides which server receives a request, when to hedge or retry, when a gather over several
+//! shards is complete enough to answer, and which route configuration is active.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `views` | route configuration, registry and evacuated zones, from the store and from peers |
-//! | `routes` | the configuration in force, resolved |
-//! | `servers` | what is known of servers, their connections, the choice among them |
-//! | `exchange` | requests: attempts, hedges, retries, completeness, answers |
-//! | `slices` | gathers that are divided among nodes: groups of shards and their owners |
+//! | `routes` | the active configuration, resolved |
+//! | `servers` | server state, connections, load balancing |
+//! | `exchange` | requests in flight: attempts, hedges, retries, answers |
+//! | `slices` | partitioning of a gather's shards among nodes |
 //! | `quarantine` | requests that crash the servers that run them |
-//! | `awaiting` | requests that came before any configuration |
-//! | `budget` | extra attempts, shared by all nodes |
-//! | [`crate::membership`] | who shares the budgets |
+//! | `pending` | requests received before the first configuration |
+//! | `budget` | cluster-wide budget of extra attempts |
+//! | [`crate::membership`] | nodes that share the budgets |
 
 mod action;
-mod awaiting;
+mod activation;
 mod budget;
-mod enforcing;
+mod caller_try;
 mod event;
 mod exchange;
 mod handling;
 mod members;
-mod notes;
 mod parameters;
-mod patience;
-mod peer_viewing;
+mod peer_messages;
+mod pending;
 mod quarantine;
 mod routes;
 mod servers;
 mod slices;
 mod staging;
+mod telemetry;
 #[cfg(test)]
 mod tests;
-mod viewing;
+mod view_updates;
 mod views;
 mod window;
 mod work;
 
-pub use action::{GatewayAction, GatewayAnswer, RefusalPromise, RefusalReason, SourceRead};
+pub use action::{GatewayAction, GatewayAnswer, RefusalReason, RefusalStatus, SourceRead};
 
+pub use caller_try::CallerTry;
 pub use event::{
     ExchangeFailure, GatewayEvent, ReplyVerdict, RequestHead, ServerLoad, ServerReply,
     SourceFailure, SourceReply, ViewKind, ViewObject,
 };
-pub use notes::{
-    AttemptCause, AttemptNote, AttemptOutcome, GatewayChange, RequestNote, SliceNote, SliceOutcome,
-    ViewOrigin,
-};
 pub use parameters::{
     BudgetParameters, ExchangeParameters, GatewayParameters, QuarantineParameters,
     ServerParameters, SliceParameters, ViewParameters,
 };
-pub use patience::CallerTry;
 pub use servers::Placement;
-pub use views::era::{EndedEra, EraTracker, ToldEra};
+pub use telemetry::{
+    AttemptCause, AttemptOutcome, AttemptSummary, GatewayChange, RequestSummary, SliceOutcome,
+    SliceSummary, ViewOrigin,
+};
+pub use views::era::{EraTracker, ReportedEra, StaleEra};
 
 use crate::driver_action::Action;
 use crate::membership::Membership;
 use crate::signal::Signal;
 use crate::time::Timestamp;
-use awaiting::Awaiting;
 use budget::ExtraAttemptBudget;
 use exchange::Exchanges;
+use pending::PendingRequests;
 use quarantine::Quarantine;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -84,28 +82,28 @@
 use thornbridge_proto::{Incarnation, NodeName};
 use views::evacuations::Evacuations;
 use views::freshness::Freshness;
-use views::peers::PeerViews;
+use views::gossip::ViewGossip;
 use views::registry::Registry;
 use views::source::SourceReader;
 
-/// What a gateway is told when it is made.
+/// Arguments of [`Gateway::new`].
 #[derive(Clone, Debug)]
 pub struct GatewaySetup {
-    /// This run's identity and peer address.
+    /// Identity and peer address of this process.
     pub endpoint: PeerEndpoint,
-    /// Operator's name for it.
+    /// Name assigned by the operator.
     pub name: NodeName,
-    /// Where it stands.
+    /// Zone and region of this node.
     pub placement: Placement,
-    /// Peers to join through.
+    /// Peers contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
     /// Seed of the random generator.
     pub seed: u64,
-    /// Tunable values.
+    /// Tunable parameters.
     pub parameters: GatewayParameters,
 }
 
-/// The state machine of one gateway.
+/// State machine of one gateway node.
 #[derive(Debug)]
 pub struct Gateway {
     now: Timestamp,
@@ -119,7 +117,7 @@
     configuration_source: SourceReader,
     registry_source: SourceReader,
     evacuation_source: SourceReader,
-    peer_views: PeerViews,
+    view_gossip: ViewGossip,
     registry: Registry,
     evacuations: Evacuations,
     configuration: Option<Arc<RouteConfiguration>>,
@@ -131,23 +129,23 @@
     quarantine: Quarantine,
     slices: Slices,
     own_address: SocketAddr,
-    /// Whether members, shards or servers changed since gathers were divided.
-    division_stale: bool,
-    /// Until when messages of peers may have waited for this process to go on.
-    stale_until: Timestamp,
-    awaiting: Awaiting,
+    /// Whether members, shards or servers changed since slices were last assigned.
+    slices_outdated: bool,
+    /// Until when received messages may have been queued while this process was paused.
+    messages_stale_until: Timestamp,
+    pending: PendingRequests,
     ready: bool,
     stopping: bool,
-    next_warming: Timestamp,
+    next_maintenance: Timestamp,
     freshness: Freshness,
-    /// Whether this node reads the store itself.
+    /// Whether this node reads the store itself instead of following peers.
     reads: bool,
-    /// Whether other members are named to join through, and this node is none of them.
-    joins_through_others: bool,
+    /// Whether seeds are configured and this node is not one of them.
+    joins_via_seeds: bool,
 }
 
 impl Gateway {
-    /// A gateway that has not started: the first event must be [`GatewayEvent::Started`].
+    /// Creates a gateway; the first event must be [`GatewayEvent::Started`].
     pub fn new(setup: GatewaySetup) -> Self {
         let parameters = setup.parameters;
         let own = MemberRecord {
@@ -161,8 +159,8 @@
         };
         let views = &parameters.views;
         let own_address = setup.endpoint.address;
-        let joins_through_others = !setup.seeds.is_empty() && !setup.seeds.contains(&own_address);
-        let others_named = setup.seeds.iter().any(|seed| *seed != own_address);
+        let joins_via_seeds = !setup.seeds.is_empty() && !setup.seeds.contains(&own_address);
+        let has_other_seeds = setup.seeds.iter().any(|seed| *seed != own_address);
         let mut random = Pcg64Mcg::seed_from_u64(setup.seed);
         let first_slice = random.random();
         Self {
@@ -174,10 +172,11 @@
             member_signals: VecDeque::new(),
             members: 1,
             configuration_source: SourceReader::new(ViewKind::Configuration, views.clone())
-                .following(),
-            registry_source: SourceReader::new(ViewKind::Registry, views.clone()).following(),
-            evacuation_source: SourceReader::new(ViewKind::Evacuations, views.clone()).following(),
-            peer_views: PeerViews::new(views.clone()),
+                .follow_peers(),
+            registry_source: SourceReader::new(ViewKind::Registry, views.clone()).follow_peers(),
+            evacuation_source: SourceReader::new(ViewKind::Evacuations, views.clone())
+                .follow_peers(),
+            view_gossip: ViewGossip::new(views.clone()),
             registry: Registry::default(),
             evacuations: Evacuations::default(),
             configuration: None,
@@ -190,59 +189,59 @@
                 first_slice,
             ),
             own_address,
-            division_stale: true,
-            stale_until: Timestamp::ZERO,
+            slices_outdated: true,
+            messages_stale_until: Timestamp::ZERO,
             servers: Servers::new(
                 parameters.servers.clone(),
                 setup.placement,
                 setup.endpoint.address,
             ),
-            budget: ExtraAttemptBudget::new(parameters.budget.clone(), others_named, setup.seed),
+            budget: ExtraAttemptBudget::new(parameters.budget.clone(), has_other_seeds, setup.seed),
             exchanges: Exchanges::new(parameters.exchange.clone()),
             quarantine: Quarantine::new(parameters.quarantine.clone()),
-            awaiting: Awaiting::default(),
+            pending: PendingRequests::default(),
             freshness: Freshness::new(parameters.views.staleness_limit),
             reads: true,
-            joins_through_others,
+            joins_via_seeds,
             parameters,
             ready: false,
             stopping: false,
-            next_warming: Timestamp::ZERO,
+            next_maintenance: Timestamp::ZERO,
         }
     }
 
-    /// The next thing to carry out; `None` when all is done.
+    /// Next action to carry out, or `None` if there is none.
     pub fn poll_action(&mut self) -> Option<GatewayAction> {
         self.actions.pop_front()
     }
 
-    /// Requests without an answer yet.
+    /// Number of requests not answered yet.
     pub fn in_flight(&self) -> usize {
-        self.exchanges.in_flight() + self.awaiting.len()
+        self.exchanges.in_flight() + self.pending.len()
     }
 
-    /// Members that share the budgets, this one included.
+    /// Number of members that share the budgets, including this node.
     pub fn members(&self) -> usize {
         self.members
     }
 
-    /// Requests under which servers crashed, as far as is remembered.
-    pub fn suspects(&self) -> usize {
+    /// Number of requests with a crash record.
+    pub fn quarantine_records(&self) -> usize {
         self.quarantine.len()
     }
 
-    /// Entries of the registry.
-    pub fn instances(&self) -> usize {
+    /// Number of registry entries.
+    pub fn registered_instances(&self) -> usize {
         self.registry.len()
     }
 
-    /// Era of the store that the registry is known as of; 0 where it tells none.
+    /// Store era of the registry view; 0 if the store reports none.
     pub fn store_era(&self) -> u64 {
-        self.registry.upto().unwrap_or_default().era
+        self.registry.revision().unwrap_or_default().era
     }
 
-    /// Version of the configuration in force; 0 where there is none.
-    pub fn version(&self) -> u64 {
+    /// Version of the active configuration; 0 if there is none.
+    pub fn configuration_version(&self) -> u64 {
         self.routes.version.0
     }
 }
--- a/crates/thornbridge-core/src/gateway/peer_viewing.rs
+++ b/crates/thornbridge-core/src/gateway/peer_messages.rs
@@ -1,9 +1,9 @@
-//! What peers tell of the views, and what they are told.
+//! Messages from peers, and the exchange of views with them.
 
 use super::Gateway;
 use super::action::GatewayAction;
-use super::notes::ViewOrigin;
-use super::views::era::is_plausible;
+use super::telemetry::ViewOrigin;
+use super::views::era::is_plausible_era;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thornbridge_config::routes::RouteConfiguration;
@@ -12,7 +12,7 @@
 
 impl Gateway {
     pub(super) fn peer_message(&mut self, from: PeerEndpoint, message: PeerMessage) {
-        self.slices.heard_from(self.now, from.address);
+        self.slices.message_received(self.now, from.address);
         match message {
             PeerMessage::Membership(message) => self.with_membership(|membership, context| {
                 membership.peer_message(context, from, message);
@@ -21,38 +21,41 @@
             PeerMessage::Slice(message) => self.slice_message(from.address, message),
             PeerMessage::Quarantine(message) => {
                 for record in &message.records {
-                    self.quarantine.learnt(self.now, &mut self.actions, record);
+                    self.quarantine.merge(self.now, &mut self.actions, record);
                 }
             }
-            // The other protocols belong to nodes that serve queries and actions.
+            // Query and action clusters ([`crate::Node`]) use these messages, gateways do not.
             PeerMessage::Configuration(_) | PeerMessage::Health(_) | PeerMessage::Action(_) => {}
         }
     }
 
     pub(super) fn view_message(&mut self, peer: SocketAddr, message: ViewMessage) {
         if let Some(era) = self.implausible_era(&message) {
-            let reason = format!("era {era} of the store");
-            self.object_refused(format!("view of {peer}"), reason);
+            let reason = format!("implausible store era {era}");
+            self.report_rejected_object(format!("view message of {peer}"), reason);
             return;
         }
         match message {
             ViewMessage::Digest { digest, age_ms } => {
                 let age = Duration::from_millis(u64::from(age_ms));
-                let own = self.view_age();
-                self.freshness.heard(self.now, own.digest, digest, age);
-                self.peer_views
-                    .digest(self.now, &mut self.actions, peer, digest, age, own);
+                let own = self.view_status();
+                self.freshness
+                    .record_peer_digest(self.now, own.digest, digest, age);
+                self.view_gossip
+                    .handle_digest(self.now, &mut self.actions, peer, digest, age, own);
             }
-            ViewMessage::Pull(theirs) => self.pulled(peer, theirs),
-            ViewMessage::Configuration { encoded, .. } => self.peer_configuration(peer, &encoded),
-            ViewMessage::Registry(delta) => self.peer_registry(peer, delta),
-            ViewMessage::Evacuations(evacuated) => self.peer_evacuations(peer, evacuated),
+            ViewMessage::Pull(peer_digest) => self.answer_pull(peer, peer_digest),
+            ViewMessage::Configuration { encoded, .. } => {
+                self.apply_peer_configuration(peer, &encoded)
+            }
+            ViewMessage::Registry(delta) => self.apply_peer_registry(peer, delta),
+            ViewMessage::Evacuations(evacuated) => self.apply_peer_evacuations(peer, evacuated),
         }
     }
 
-    /// An era that a message claims and the store cannot be in.
+    /// The store era in a message, if it is implausible.
     fn implausible_era(&self, message: &ViewMessage) -> Option<u64> {
-        let told = match message {
+        let era = match message {
             ViewMessage::Digest { digest, .. } | ViewMessage::Pull(digest) => {
                 digest.registry.era.max(digest.evacuations.era)
             }
@@ -60,26 +63,26 @@
             ViewMessage::Evacuations(evacuated) => evacuated.at.era,
             ViewMessage::Configuration { .. } => return None,
         };
-        let known = self.registry.upto().map(|upto| upto.era);
-        (!is_plausible(known, told)).then_some(told)
+        let current = self.registry.revision().map(|revision| revision.era);
+        (!is_plausible_era(current, era)).then_some(era)
     }
 
-    pub(super) fn pulled(&mut self, peer: SocketAddr, theirs: ViewDigest) {
+    pub(super) fn answer_pull(&mut self, peer: SocketAddr, peer_digest: ViewDigest) {
         let newest = match self.staging.get() {
             Some(staged) => Some(&staged.configuration),
             None => self.configuration.as_ref(),
         };
         if let Some(configuration) = newest
-            && configuration.version.0 > theirs.configuration
+            && configuration.version.0 > peer_digest.configuration
             && let Ok(encoded) = rmp_serde::to_vec(&**configuration)
         {
             let version = configuration.version.0;
             self.send_view(peer, ViewMessage::Configuration { version, encoded });
         }
-        if let Some(evacuated) = self.evacuations.newer_than(theirs.evacuations) {
+        if let Some(evacuated) = self.evacuations.newer_than(peer_digest.evacuations) {
             self.send_view(peer, ViewMessage::Evacuations(evacuated));
         }
-        if let Some(delta) = self.registry.delta(theirs.registry) {
+        if let Some(delta) = self.registry.delta(peer_digest.registry) {
             self.send_view(peer, ViewMessage::Registry(delta));
         }
     }
@@ -90,37 +93,37 @@
             .push_back(GatewayAction::SendPeer { to, message });
     }
 
-    pub(super) fn peer_configuration(&mut self, peer: SocketAddr, encoded: &[u8]) {
+    pub(super) fn apply_peer_configuration(&mut self, peer: SocketAddr, encoded: &[u8]) {
         let Ok(configuration) = rmp_serde::from_slice::<RouteConfiguration>(encoded) else {
-            self.object_refused("peer's configuration".to_owned(), "malformed".to_owned());
+            self.report_rejected_object(format!("configuration of {peer}"), "malformed".to_owned());
             return;
         };
-        if self.take_configuration(configuration, ViewOrigin::Peer) {
+        if self.stage_configuration(configuration, ViewOrigin::Peer) {
             self.announce(Some(peer));
         }
     }
 
-    /// Tells a few peers of what is new here, from this peer or from the store.
+    /// Announces changed views. `from`: the peer that sent the change; `None` for the store.
     pub(super) fn announce(&mut self, from: Option<SocketAddr>) {
-        let own = self.view_age();
-        self.peer_views
+        let own = self.view_status();
+        self.view_gossip
             .announce(&mut self.random, &mut self.actions, own, from);
     }
 
-    pub(super) fn peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
-        let before = self.registry.upto();
-        let changes = self.registry.take_delta(self.now, delta);
+    pub(super) fn apply_peer_registry(&mut self, peer: SocketAddr, delta: RegistryDelta) {
+        let before = self.registry.revision();
+        let changes = self.registry.apply_delta(self.now, delta);
         let changed = !changes.is_empty();
-        self.registry_learnt(before, changes, ViewOrigin::Peer);
+        self.registry_updated(before, changes, ViewOrigin::Peer);
         if changed {
             self.announce(Some(peer));
         }
     }
 
-    fn peer_evacuations(&mut self, peer: SocketAddr, evacuated: EvacuatedZones) {
+    fn apply_peer_evacuations(&mut self, peer: SocketAddr, evacuated: EvacuatedZones) {
         let changes = self.evacuations.replace(evacuated.zones, evacuated.at);
         let changed = !changes.is_empty();
-        self.evacuations_changed(changes, ViewOrigin::Peer);
+        self.apply_evacuation_changes(changes, ViewOrigin::Peer);
         if changed {
             self.announce(Some(peer));
         }
--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -1,23 +1,23 @@
 //! When requests are answered, and with what.
 
 use super::support::{Harness, SentAttempt, answer, gather, millis, route, service, verdict};
-use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, ReplyVerdict};
+use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalStatus, ReplyVerdict};
 use thornbridge_config::routes::Repeatability::{AtMostOnce, Repeatable};
 
 const ONE: &[u8] = b"0000000000000001";
 const TWO: &[u8] = b"0000000000000002";
 const THREE: &[u8] = b"0000000000000003";
 
-fn sharded(least_share: f64) -> Harness {
+fn gather_over_three_shards(least_share: f64) -> Harness {
     let target = gather(&["a", "b", "c"], least_share);
     let servers = [("a1", "a"), ("b1", "b"), ("c1", "c")];
     Harness::serving(vec![route("/", target, Repeatable)], &servers)
 }
 
 #[test]
-fn a_gather_is_answered_when_all_parts_are_in() {
-    let mut harness = sharded(0.5);
-    let caller = harness.ask("/x");
+fn gather_is_answered_when_all_parts_answered() {
+    let mut harness = gather_over_three_shards(0.5);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     for (attempt, body) in sent.iter().zip([ONE, THREE, TWO]) {
         assert!(!harness.answers.contains_key(&caller));
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn a_gather_with_enough_parts_is_answered_when_it_is_due() {
-    let mut harness = sharded(0.6);
-    let caller = harness.ask("/x");
+fn gather_with_enough_parts_is_answered_at_soft_deadline() {
+    let mut harness = gather_over_three_shards(0.6);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
     harness.reply(sent[2].attempt, answer(TWO));
-    harness.wait(millis(85));
+    harness.advance(millis(85));
     assert!(!harness.answers.contains_key(&caller));
-    harness.wait(millis(10));
+    harness.advance(millis(10));
     assert!(matches!(
         harness.answers[&caller],
         GatewayAnswer::Gathered { missing: 1, .. }
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn a_gather_with_too_few_parts_goes_on_after_it_is_due() {
-    let mut harness = sharded(0.9);
-    let caller = harness.ask("/x");
+fn gather_with_too_few_parts_continues_past_soft_deadline() {
+    let mut harness = gather_over_three_shards(0.9);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
-    harness.wait(millis(300));
+    harness.advance(millis(300));
     assert!(!harness.answers.contains_key(&caller));
     harness.reply(sent[1].attempt, answer(ONE));
     harness.reply(sent[2].attempt, answer(ONE));
@@ -65,60 +65,72 @@
 }
 
 #[test]
-fn a_gather_that_cannot_have_enough_parts_is_given_up_at_once() {
-    let mut harness = sharded(0.9);
-    let caller = harness.ask("/x");
+fn gather_without_enough_reachable_parts_is_refused_at_once() {
+    let mut harness = gather_over_three_shards(0.9);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
-    harness.reply(sent[0].attempt, verdict(ReplyVerdict::Spoilt));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    harness.reply(sent[0].attempt, verdict(ReplyVerdict::Invalid));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
-fn the_final_answer_comes_by_the_time_limit() {
-    let mut harness = sharded(0.9);
-    let caller = harness.ask("/x");
-    harness.wait(millis(1_001));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::TimedOut));
-    // What still runs is cut off a moment later.
-    harness.wait(millis(400));
+fn request_is_refused_at_time_limit() {
+    let mut harness = gather_over_three_shards(0.9);
+    let caller = harness.send_request("/x");
+    harness.advance(millis(1_001));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::TimedOut)
+    );
+    // Attempts in flight are cancelled after the grace period.
+    harness.advance(millis(400));
     assert_eq!(harness.closed.len(), 3);
 }
 
 #[test]
-fn a_caller_that_leaves_has_its_attempts_cut_off() {
-    let mut harness = sharded(0.9);
-    let caller = harness.ask("/x");
-    harness.event(GatewayEvent::CallerGone { caller });
-    harness.wait(millis(100));
-    assert!(harness.closed.is_empty(), "most end by themselves");
-    harness.wait(millis(300));
+fn attempts_of_departed_caller_are_cancelled_after_grace() {
+    let mut harness = gather_over_three_shards(0.9);
+    let caller = harness.send_request("/x");
+    harness.event(GatewayEvent::CallerDisconnected { caller });
+    harness.advance(millis(100));
+    assert!(
+        harness.closed.is_empty(),
+        "cancelled before the grace period ended"
+    );
+    harness.advance(millis(300));
     assert_eq!(harness.closed.len(), 3);
     assert!(!harness.answers.contains_key(&caller));
 }
 
 #[test]
-fn what_may_run_once_is_not_sent_again_after_it_may_have_run() {
+fn at_most_once_request_is_not_retried_after_possible_run() {
     let routes = vec![route("/", service("s"), AtMostOnce)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..4 {
-        let fine = harness.ask("/x");
-        let sent = harness.sent_for(fine);
+        let answered = harness.send_request("/x");
+        let sent = harness.sent_for(answered);
         harness.reply(sent[0].attempt, answer(ONE));
     }
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let attempt = harness.sent_for(caller)[0].attempt;
     let failure = ExchangeFailure::MayHaveRun;
     harness.event(GatewayEvent::Failed { attempt, failure });
     assert_eq!(harness.sent_for(caller).len(), 1);
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
-fn what_certainly_did_not_run_is_sent_to_another_server() {
+fn rejected_request_is_retried_on_another_server() {
     for reply in [ReplyVerdict::NotRun, ReplyVerdict::WrongInstance] {
         let routes = vec![route("/", service("s"), AtMostOnce)];
         let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
-        let caller = harness.ask("/x");
+        let caller = harness.send_request("/x");
         let first = harness.sent_for(caller)[0].clone();
         harness.reply(first.attempt, verdict(reply));
         let sent = harness.sent_for(caller);
@@ -133,39 +145,39 @@
 }
 
 #[test]
-fn a_late_answer_of_a_request_that_is_over_changes_nothing() {
-    let mut harness = sharded(0.3);
-    let caller = harness.ask("/x");
+fn late_reply_to_finished_request_is_ignored() {
+    let mut harness = gather_over_three_shards(0.3);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
     harness.reply(sent[0].attempt, answer(ONE));
-    harness.wait(millis(100));
+    harness.advance(millis(100));
     let before = harness.answers[&caller].clone();
     harness.reply(sent[1].attempt, answer(TWO));
     assert_eq!(harness.answers[&caller], before);
 }
 
 #[test]
-fn servers_are_given_the_time_that_is_left() {
-    let mut harness = sharded(0.9);
-    let caller = harness.ask("/x");
+fn attempts_carry_remaining_time() {
+    let mut harness = gather_over_three_shards(0.9);
+    let caller = harness.send_request("/x");
     let sent = harness.sent_for(caller);
-    assert!(sent.iter().all(|sent| sent.patience <= millis(1_000)));
-    let longer = harness.ask("/x");
-    harness.wait(millis(400));
-    let later = harness.sent_for(longer);
+    assert!(sent.iter().all(|sent| sent.caller_timeout <= millis(1_000)));
+    let second_caller = harness.send_request("/x");
+    harness.advance(millis(400));
+    let later_attempts = harness.sent_for(second_caller);
     assert!(
-        later
+        later_attempts
             .iter()
             .skip(3)
-            .all(|sent| sent.patience <= millis(620))
+            .all(|sent| sent.caller_timeout <= millis(620))
     );
 }
 
 #[test]
-fn a_part_that_never_left_waits_for_a_connection_instead_of_failing() {
+fn unsent_part_waits_for_connection() {
     let routes = vec![route("/all/", gather(&["a", "b"], 1.0), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a"), ("i-2", "b")]);
-    let caller = harness.ask("/all/x");
+    let caller = harness.send_request("/all/x");
     let first = harness.sent_for(caller);
     let attempt = |sent: &[SentAttempt], id: &str| {
         let found = sent.iter().rev().find(|sent| sent.instance == id);
@@ -178,7 +190,7 @@
         failure: ExchangeFailure::NotSent,
     });
     assert!(!harness.answers.contains_key(&caller));
-    harness.wait(millis(500));
+    harness.advance(millis(500));
     let again = harness.sent_for(caller);
     assert!(again.len() > first.len(), "{again:?}");
     harness.reply(attempt(&again, "i-1"), answer(b"0000000000000001"));
@@ -190,11 +202,11 @@
 }
 
 #[test]
-fn a_request_that_every_server_refused_is_refused_at_once() {
+fn request_rejected_by_every_server_is_refused_at_once() {
     let routes = vec![route("/", service("a"), Repeatable)];
     let mut harness = Harness::serving(routes, &[("i-1", "a")]);
-    let caller = harness.ask("/x");
+    let caller = harness.send_request("/x");
     let attempt = harness.sent_for(caller)[0].attempt;
     harness.reply(attempt, verdict(ReplyVerdict::NotRun));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::NotRun));
+    assert_eq!(harness.refusal_status(caller), Some(RefusalStatus::NotRun));
 }
--- a/crates/thornbridge-core/src/gateway/tests/mod.rs
+++ b/crates/thornbridge-core/src/gateway/tests/mod.rs
@@ -1,8 +1,8 @@
-//! Tests of the gateway's parts: properties against simple oracles, and the rules of each.
+//! Unit and property tests of the gateway.
 
 mod answers;
-mod awaiting;
 mod budgets;
+mod dead_connections;
 mod delays;
 mod divisions;
 mod eras;
@@ -10,17 +10,17 @@
 mod freshness;
 mod grants;
 mod hedges;
-mod neighbours;
+mod pending;
 mod quarantine;
 mod queues;
 mod registries;
 mod restarts;
 mod routing;
 mod scarcity;
-mod silences;
 mod slice_support;
 mod slices;
+mod slowdown;
 mod sources;
-mod speeds;
 mod subsets;
 mod support;
+mod zone_peers;
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -1,115 +1,120 @@
-//! Gathers that are divided among nodes: their coordinator's side and their owners'.
+//! Divided gathers: delegation by the coordinator, and serving by owners.
 
 use super::slice_support::{
-    SHARDS, SMALL_SHARE, ask_slice, missing, node, report, report_all, report_and_request,
-    report_of, reports, stops, task,
+    SHARDS, SMALL_CORE_SHARE, missing_shards, node_with_peers, receive_task, report, report_all,
+    report_and_request, report_of, reports, stops, task,
 };
 use super::support::{answer, answer_all, millis, peer, verdict};
-use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalPromise, ReplyVerdict};
+use crate::gateway::{ExchangeFailure, GatewayAnswer, GatewayEvent, RefusalStatus, ReplyVerdict};
 use assert_matches::assert_matches;
 use std::time::Duration;
 use thornbridge_proto::peer::slice::{ShardFailure, SliceId, SliceMessage, SliceReport, SliceStop};
 
 #[test]
-fn a_wide_gather_is_divided_where_one_node_is_too_slow() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn wide_gather_is_divided_on_slow_node() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     assert_eq!(harness.sent_for(caller).len(), 0);
     let tasks = harness.tasks.clone();
     let shards: usize = tasks.iter().map(|(_, task)| task.shards.len()).sum();
     assert_eq!(shards, SHARDS);
     report_all(&mut harness, &tasks);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_node_with_a_whole_core_asks_the_servers_itself() {
-    let mut harness = node(1.0);
-    let caller = harness.ask("/search/1");
+fn gather_is_not_divided_on_full_core() {
+    let mut harness = node_with_peers(1.0);
+    let caller = harness.send_request("/search/1");
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), SHARDS);
 }
 
 #[test]
-fn the_answer_holds_the_greatest_records_of_all_reports() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn answer_holds_greatest_records_of_all_reports() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     let tasks = harness.tasks.clone();
     for (index, (owner, task)) in tasks.iter().enumerate() {
-        let whole = report_of(task, 0..task.shards.len(), index as u8);
-        report(&mut harness, *owner, task, whole);
+        let complete_report = report_of(task, 0..task.shards.len(), index as u8);
+        report(&mut harness, *owner, task, complete_report);
     }
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
-        panic!("no answer");
+        panic!("no answer for {caller:?}");
     };
     let greatest = tasks.len() as u8 - 1;
     assert_eq!(records.as_ref(), [greatest; 32]);
 }
 
 #[test]
-fn a_slice_whose_owner_is_gone_is_asked_of_another() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn slice_of_lost_owner_is_delegated_again() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
-    let (gone, lost) = tasks[0].clone();
+    let (lost_owner, lost_task) = tasks[0].clone();
     report_all(&mut harness, &tasks[1..]);
-    harness.event(GatewayEvent::PeerLinkDown { address: gone });
+    harness.event(GatewayEvent::PeerLinkDown {
+        address: lost_owner,
+    });
     let again = harness.tasks.clone();
     let (owner, task) = &again[0];
-    assert_ne!(*owner, gone);
-    assert_eq!(task.shards, lost.shards);
+    assert_ne!(*owner, lost_owner);
+    assert_eq!(task.shards, lost_task.shards);
     assert_eq!(task.prior_attempts, 1);
     report_all(&mut harness, &again);
-    assert_eq!(missing(&harness, caller), Some(0));
+    assert_eq!(missing_shards(&harness, caller), Some(0));
 }
 
 #[test]
-fn a_slice_that_may_have_had_all_its_attempts_is_asked_of_nobody() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn slice_without_remaining_attempts_is_not_delegated_again() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
-    harness.wait(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
-    // The owner is granted second attempts and may have made them by now.
+    harness.advance(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
+    // With its grant, the owner may have sent the second attempts by now.
     let (address, task) = tasks[0].clone();
-    let part = report_of(&task, 0..1, b'1');
-    report_and_request(&mut harness, address, &task, part);
+    let partial_report = report_of(&task, 0..1, b'1');
+    report_and_request(&mut harness, address, &task, partial_report);
     harness.event(GatewayEvent::PeerLinkDown { address });
     assert!(harness.tasks.is_empty());
     assert_eq!(harness.sent_for(caller).len(), 0);
-    harness.wait(millis(300));
-    assert_eq!(harness.refused(caller), Some(RefusalPromise::MayHaveRun));
+    harness.advance(millis(300));
+    assert_eq!(
+        harness.refusal_status(caller),
+        Some(RefusalStatus::MayHaveRun)
+    );
 }
 
 #[test]
-fn a_late_report_replaces_the_answers_that_this_node_got_itself() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn late_report_replaces_local_answers() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = tasks[0].clone();
-    let none = SliceReport {
+    let unsent = SliceReport {
         failed: vec![(0, ShardFailure::Unsent)],
         ..SliceReport::default()
     };
-    // The owner could not send its first shard: this node does, and has an answer.
-    report(&mut harness, owner, &task, none);
+    // This node sends the shard that its owner could not send.
+    report(&mut harness, owner, &task, unsent);
     let sent = harness.sent_for(caller);
     assert_eq!(sent.len(), 1);
     harness.reply(sent[0].attempt, answer(b"9999999999999999"));
-    let whole = report_of(&task, 0..task.shards.len(), b'1');
-    report(&mut harness, owner, &task, whole);
-    assert_eq!(missing(&harness, caller), Some(0));
+    let complete_report = report_of(&task, 0..task.shards.len(), b'1');
+    report(&mut harness, owner, &task, complete_report);
+    assert_eq!(missing_shards(&harness, caller), Some(0));
     let Some(GatewayAnswer::Gathered { records, .. }) = harness.answers.get(&caller) else {
-        panic!("no answer");
+        panic!("no answer for {caller:?}");
     };
     assert_eq!(records.as_ref(), [b'1'; 32]);
 }
 
 #[test]
-fn a_refused_slice_did_not_run() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn slice_refused_by_all_owners_is_served_locally() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
             let refused = SliceReport {
@@ -120,7 +125,7 @@
             report(&mut harness, owner, &task, refused);
         }
     }
-    // All owners refused: this node asks the servers, as it would without owners.
+    // With all owners refusing, this node serves the shards.
     assert_eq!(harness.sent_for(caller).len(), SHARDS);
     answer_all(&mut harness);
     let answer = harness.answers.get(&caller);
@@ -128,35 +133,35 @@
 }
 
 #[test]
-fn owners_hear_that_the_caller_left() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
-    harness.event(GatewayEvent::CallerGone { caller });
+fn owners_are_stopped_when_caller_leaves() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
+    harness.event(GatewayEvent::CallerDisconnected { caller });
     for (_, task) in harness.tasks.clone() {
         assert_eq!(stops(&harness, task.slice), [SliceStop::CallerGone]);
     }
 }
 
 #[test]
-fn enough_shards_are_an_answer_when_it_is_due() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn partial_answer_is_sent_at_soft_deadline() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     let tasks = harness.tasks.clone();
     report_all(&mut harness, &tasks[1..]);
     let (owner, task) = &tasks[0];
-    let part = report_of(task, 0..task.shards.len() - 1, b'1');
-    report(&mut harness, *owner, task, part);
-    harness.wait(millis(200));
-    assert_eq!(missing(&harness, caller), Some(1));
+    let partial_report = report_of(task, 0..task.shards.len() - 1, b'1');
+    report(&mut harness, *owner, task, partial_report);
+    harness.advance(millis(200));
+    assert_eq!(missing_shards(&harness, caller), Some(1));
     assert_eq!(stops(&harness, task.slice), [SliceStop::Answered]);
 }
 
-// Owners.
+// Serving as an owner.
 
 #[test]
-fn an_owner_reports_once_where_all_shards_answer() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
+fn owner_reports_once_when_all_shards_answer() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
     assert_eq!(harness.sent.len(), 3);
     answer_all(&mut harness);
     let reports = reports(&harness);
@@ -167,41 +172,45 @@
 }
 
 #[test]
-fn an_owner_reports_when_its_second_attempts_begin() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2"], 0));
+fn owner_reports_when_hedging_begins() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2"], 0));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
-    harness.wait(millis(49));
-    assert_eq!(harness.sent.len(), 2, "no second attempt yet");
+    harness.advance(millis(49));
+    assert_eq!(harness.sent.len(), 2, "hedge sent before its earliest time");
     assert!(reports(&harness).is_empty());
-    harness.wait(millis(30));
-    assert_eq!(harness.sent.len(), 3, "a second attempt");
+    harness.advance(millis(30));
+    assert_eq!(harness.sent.len(), 3, "no hedge sent");
     let first = &reports(&harness)[0];
     assert_eq!(first.answered.len(), 1);
     assert!(!first.finished);
 }
 
 #[test]
-fn late_shards_are_reported_as_they_come() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
-    harness.wait(millis(150));
+fn late_shards_are_reported_as_they_answer() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1", "shard-2", "shard-3"], 0));
+    harness.advance(millis(150));
     harness.reply(harness.sent[0].attempt, answer(b"0000000000000001"));
     harness.reply(harness.sent[1].attempt, answer(b"0000000000000002"));
-    assert_eq!(reports(&harness).len(), 2, "the second waits for a moment");
-    harness.wait(millis(10));
+    assert_eq!(
+        reports(&harness).len(),
+        2,
+        "second report sent within the report interval"
+    );
+    harness.advance(millis(10));
     let reports = reports(&harness);
     let answered: Vec<usize> = reports.iter().map(|report| report.answered.len()).collect();
     assert_eq!(answered, [0, 1, 1]);
 }
 
 #[test]
-fn an_owner_that_is_asked_second_makes_one_attempt_less() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 1));
+fn second_owner_sends_one_attempt_less() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 1));
     assert_eq!(harness.sent.len(), 1);
-    harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Spoilt));
-    harness.wait(millis(800));
+    harness.reply(harness.sent[0].attempt, verdict(ReplyVerdict::Invalid));
+    harness.advance(millis(800));
     assert_eq!(harness.sent.len(), 1);
     let reports = reports(&harness);
     assert_eq!(
@@ -211,63 +220,68 @@
 }
 
 #[test]
-fn servers_stop_soon_after_the_caller_of_a_slice_left() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn attempts_are_cancelled_after_slice_caller_leaves() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let slice = SliceId(7);
     let reason = SliceStop::CallerGone;
     harness.slice_message(peer(1), SliceMessage::Stop { slice, reason });
     let connection = harness.sent[0].connection;
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     assert!(harness.closed.contains(&connection));
     assert_eq!(harness.released.len(), 1);
 }
 
 #[test]
-fn an_owner_stops_when_its_coordinator_is_gone() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn attempts_are_cancelled_when_coordinator_is_lost() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let address = peer(1).address;
     harness.event(GatewayEvent::PeerLinkDown { address });
     let connection = harness.sent[0].connection;
-    harness.wait(millis(400));
+    harness.advance(millis(400));
     assert!(harness.closed.contains(&connection));
 }
 
 #[test]
-fn a_slice_of_unknown_services_is_refused() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["unheard-of"], 0));
+fn slice_of_unknown_services_is_refused() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["unheard-of"], 0));
     let reports = reports(&harness);
     assert!(reports[0].refused && reports[0].finished);
     assert!(harness.sent.is_empty());
 }
 
 #[test]
-fn the_same_slice_is_not_served_twice() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn duplicate_slice_is_ignored() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert_eq!(harness.sent.len(), 1);
-    assert!(reports(&harness).is_empty(), "a refusal would not be true");
+    assert!(
+        reports(&harness).is_empty(),
+        "a slice in flight must not be refused"
+    );
 }
 
 #[test]
-fn a_slice_that_waited_for_a_paused_process_is_refused() {
-    let mut harness = node(SMALL_SHARE);
-    harness.event(GatewayEvent::Paused { by: millis(1_500) });
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn slice_is_refused_after_process_pause() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    harness.event(GatewayEvent::Paused {
+        duration: millis(1_500),
+    });
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert!(reports(&harness)[0].refused);
     assert!(harness.sent.is_empty());
-    harness.wait(millis(200));
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+    harness.advance(millis(200));
+    receive_task(&mut harness, task(&["shard-1"], 0));
     assert_eq!(harness.sent.len(), 1);
 }
 
 #[test]
-fn a_task_that_never_left_did_not_run() {
-    let mut harness = node(SMALL_SHARE);
-    let caller = harness.ask("/search/1");
+fn unsent_tasks_are_served_locally() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    let caller = harness.send_request("/search/1");
     for _ in 0..3 {
         for (owner, task) in std::mem::take(&mut harness.tasks) {
             let slice = task.slice;
@@ -278,42 +292,40 @@
 }
 
 #[test]
-fn a_slice_whose_request_cannot_be_used_is_refused_and_not_tried_again() {
-    let mut harness = node(SMALL_SHARE);
-    ask_slice(&mut harness, task(&["shard-1"], 0));
+fn slice_with_unusable_request_is_refused_without_retry() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
+    receive_task(&mut harness, task(&["shard-1"], 0));
     let sent = harness.sent[0].clone();
     let caller = sent.caller;
-    harness.event(GatewayEvent::RelayUnusable { caller });
+    harness.event(GatewayEvent::RelayMalformed { caller });
     harness.event(GatewayEvent::Failed {
         attempt: sent.attempt,
         failure: ExchangeFailure::NotSent,
     });
-    harness.wait(millis(500));
+    harness.advance(millis(500));
     assert_eq!(reports(&harness), [SliceReport::refusal()]);
     assert_eq!(harness.sent.len(), 1);
     assert_eq!(harness.released, [caller]);
 }
 
-/// Zones have as many owners, and not as many callers: with the nearest owners only, those of a busy zone
-/// held parts back for seconds while others had nothing to do.
 #[test]
-fn an_owner_at_which_parts_wait_is_left_to_others_for_a_while() {
-    let mut harness = node(SMALL_SHARE);
+fn owner_with_queued_parts_is_avoided_for_a_while() {
+    let mut harness = node_with_peers(SMALL_CORE_SHARE);
     let first_owner = |harness: &mut super::support::Harness| {
         harness.tasks.clear();
-        harness.ask("/search/1");
+        harness.send_request("/search/1");
         let tasks = std::mem::take(&mut harness.tasks);
         report_all(harness, &tasks[1..]);
         tasks[0].clone()
     };
     let (busy, task) = first_owner(&mut harness);
-    let mut whole = report_of(&task, 0..1, b'1');
-    whole.waiting = 1;
-    report(&mut harness, busy, &task, whole);
+    let mut partial_report = report_of(&task, 0..1, b'1');
+    partial_report.waiting = 1;
+    report(&mut harness, busy, &task, partial_report);
     let (other, _) = first_owner(&mut harness);
     assert_ne!(other, busy);
-    // Shorter than the time after which a peer that answers no probe is missed here.
-    harness.wait(millis(200));
+    // Shorter than the failure detection of peers that answer no probe.
+    harness.advance(millis(200));
     let (again, _) = first_owner(&mut harness);
     assert_eq!(again, busy);
 }
--- a/crates/thornbridge-core/src/gateway/tests/speeds.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slowdown.rs
@@ -1,9 +1,9 @@
-//! What is learnt of a server's speed.
+//! Estimate of a server's slowdown.
 
 use super::support::{instance, millis};
 use crate::gateway::ServerParameters;
-use crate::gateway::notes::ViewOrigin;
 use crate::gateway::servers::{Placement, ServerKey, Servers};
+use crate::gateway::telemetry::ViewOrigin;
 use crate::time::Timestamp;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -15,7 +15,7 @@
 
 const WORK: Duration = Duration::from_millis(20);
 
-/// One server, and how fast this node believes that it is.
+/// One server and its observed processing times.
 struct Observed {
     servers: Servers,
     key: ServerKey,
@@ -37,14 +37,14 @@
         let mut actions = VecDeque::new();
         let now = Timestamp::ZERO;
         let origin = ViewOrigin::Store;
-        servers.present(
+        servers.upsert_instance(
             now,
             &mut actions,
             &instance,
             StoreRevision::without_era(1),
             origin,
         );
-        let service = servers.service(&ServiceName::new("s"));
+        let service = servers.service_key(&ServiceName::new("s"));
         let mut random = Pcg64Mcg::seed_from_u64(1);
         let choice = servers.choose(now, &mut random, service, WORK, &[]);
         let key = choice.unwrap().server;
@@ -55,42 +55,42 @@
         self.now = self.now + after;
         let parameters = self.servers.parameters.clone();
         let server = self.servers.get_mut(self.key).unwrap();
-        server.observe_speed(&parameters, self.now, took, WORK);
+        server.observe_slowdown(&parameters, self.now, took, WORK);
     }
 
-    fn speed(&self) -> f64 {
+    fn slowdown(&self) -> f64 {
         let server = self.servers.get(self.key).unwrap();
-        server.speed(&self.servers.parameters, self.now)
+        server.slowdown(&self.servers.parameters, self.now)
     }
 }
 
 #[test]
-fn two_slow_answers_in_a_row_tell_where_few_are_seen() {
+fn two_consecutive_slow_answers_raise_slowdown_at_low_rate() {
     let mut observed = Observed::new();
     for _ in 0..10 {
         observed.observe(millis(800), WORK);
     }
     observed.observe(millis(800), WORK * 8);
     observed.observe(millis(800), WORK * 8);
-    assert!(observed.speed() > 2.5, "{}", observed.speed());
+    assert!(observed.slowdown() > 2.5, "{}", observed.slowdown());
 }
 
 #[test]
-fn one_pause_makes_no_slow_server() {
+fn single_slow_answer_has_limited_effect() {
     let mut observed = Observed::new();
     observed.observe(millis(800), WORK);
     observed.observe(millis(800), WORK * 12);
-    assert!(observed.speed() < 2.1, "{}", observed.speed());
+    assert!(observed.slowdown() < 2.1, "{}", observed.slowdown());
     observed.observe(millis(800), WORK);
-    assert!(observed.speed() < 1.3, "{}", observed.speed());
+    assert!(observed.slowdown() < 1.3, "{}", observed.slowdown());
 }
 
 #[test]
-fn where_many_are_seen_each_says_little() {
+fn single_slow_answer_has_little_weight_at_high_rate() {
     let mut observed = Observed::new();
     for _ in 0..50 {
         observed.observe(millis(50), WORK);
     }
     observed.observe(millis(50), WORK * 4);
-    assert!(observed.speed() < 1.4, "{}", observed.speed());
+    assert!(observed.slowdown() < 1.4, "{}", observed.slowdown());
 }
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use thornbridge_config::routes::CallerLimits;
 use thornbridge_core::CallerId;
-use thornbridge_core::gateway::{GatewayAnswer, RefusalPromise, RefusalReason, RequestHead};
+use thornbridge_core::gateway::{GatewayAnswer, RefusalReason, RefusalStatus, RequestHead};
 use thornbridge_proto::fingerprint::{Fingerprint, FingerprintSource};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -268,8 +268,10 @@
             .get(name)
             .and_then(|value: &HeaderValue| value.to_str().ok())
     };
-    let patience = text(&names.patience).and_then(|value| value.trim().parse::<f64>().ok());
-    let patience = patience.filter(|patience| patience.is_finite() && *patience >= 0.0);
+    let caller_timeout =
+        text(&names.caller_timeout).and_then(|value| value.trim().parse::<f64>().ok());
+    let caller_timeout = caller_timeout
+        .filter(|caller_timeout| caller_timeout.is_finite() && *caller_timeout >= 0.0);
     let host = host_of(text(&HOST).unwrap_or_default());
     let target = parts.uri.path_and_query();
     let credentials = parts.headers.get(AUTHORIZATION);
@@ -285,7 +287,7 @@
         fingerprint,
         host,
         path: parts.uri.path().to_owned(),
-        patience: patience.map(|millis| Duration::from_secs_f64(millis / 1_000.0)),
+        caller_timeout: caller_timeout.map(|millis| Duration::from_secs_f64(millis / 1_000.0)),
         first_on_connection,
     }
 }
@@ -319,9 +321,9 @@
         } => gathered(names, &signatures, missing, records),
         GatewayAnswer::Refused {
             reason,
-            promise,
+            status,
             retry_after,
-        } => refused(reason, promise, retry_after),
+        } => refused(reason, status, retry_after),
     }
 }
 
@@ -344,15 +346,15 @@
 
 fn refused(
     reason: RefusalReason,
-    promise: RefusalPromise,
+    refusal_status: RefusalStatus,
     retry_after: Option<Duration>,
 ) -> Response<Full<Bytes>> {
-    let status = match promise {
-        RefusalPromise::NotRun => StatusCode::SERVICE_UNAVAILABLE,
-        RefusalPromise::MayHaveRun => StatusCode::BAD_GATEWAY,
-        RefusalPromise::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-        RefusalPromise::BadRequest => StatusCode::BAD_REQUEST,
-        RefusalPromise::NotFound => StatusCode::NOT_FOUND,
+    let status = match refusal_status {
+        RefusalStatus::NotRun => StatusCode::SERVICE_UNAVAILABLE,
+        RefusalStatus::MayHaveRun => StatusCode::BAD_GATEWAY,
+        RefusalStatus::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+        RefusalStatus::BadRequest => StatusCode::BAD_REQUEST,
+        RefusalStatus::NotFound => StatusCode::NOT_FOUND,
     };
     let mut response = problem(status, reason.as_str());
     if let Some(after) = retry_after
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -151,8 +151,8 @@
                 _ = sweep.tick() => self.peers.sweep(),
             }
             self.clock.catch_up();
-            if let Some(by) = pauses.wake(self.clock.now()) {
-                self.handle(GatewayEvent::Paused { by });
+            if let Some(duration) = pauses.wake(self.clock.now()) {
+                self.handle(GatewayEvent::Paused { duration });
             }
             for input in batch.drain(..) {
                 self.take(input);
@@ -181,7 +181,7 @@
                 self.handle(*event);
             }
             GatewayInput::Request(request) => self.take_request(*request),
-            GatewayInput::Stop => self.handle(GatewayEvent::StopAsked),
+            GatewayInput::Stop => self.handle(GatewayEvent::StopRequested),
             GatewayInput::Reconfigure(parameters) => {
                 self.handle(GatewayEvent::Reconfigured { parameters });
             }
@@ -227,7 +227,7 @@
 
     fn caller_gone(&mut self, caller: CallerId) {
         if self.waiting.remove(&caller).is_some() {
-            self.handle(GatewayEvent::CallerGone { caller });
+            self.handle(GatewayEvent::CallerDisconnected { caller });
         }
     }
 
@@ -244,8 +244,8 @@
     }
 
     fn settle(&mut self) {
-        if let Some(by) = self.outlets.delays.take() {
-            self.handle(GatewayEvent::AnswerDelayed { by });
+        if let Some(delay) = self.outlets.delays.take() {
+            self.handle(GatewayEvent::AnswerDelayed { delay });
         }
         let due = self.gateway.next_timeout();
         if due.is_some_and(|due| due <= self.clock.now()) {
@@ -254,9 +254,9 @@
         self.carry_out_all();
         let standing = Standing {
             members: self.gateway.members(),
-            instances: self.gateway.instances(),
-            suspects: self.gateway.suspects(),
-            version: self.gateway.version(),
+            instances: self.gateway.registered_instances(),
+            suspects: self.gateway.quarantine_records(),
+            version: self.gateway.configuration_version(),
             store_era: self.gateway.store_era(),
             in_flight: self.gateway.in_flight(),
             connections: self.connections.len(),
@@ -296,8 +296,8 @@
                 attempt,
                 caller,
                 instance,
-                patience,
-            } => self.send(connection, attempt, caller, &instance, patience),
+                caller_timeout,
+            } => self.send(connection, attempt, caller, &instance, caller_timeout),
             GatewayAction::Answer { caller, answer } => {
                 let waiting = self.waiting.remove(&caller);
                 if let Some(reply) = waiting.and_then(|waiting| waiting.reply) {
@@ -305,9 +305,9 @@
                     let _ = reply.send(DecidedAnswer::now(answer));
                 }
             }
-            GatewayAction::AskOwner { to, caller, task } => self.ask_owner(to, caller, *task),
-            GatewayAction::Adopt { caller, relayed } => self.adopt(caller, &relayed),
-            GatewayAction::Release { caller } => {
+            GatewayAction::SendTask { to, caller, task } => self.ask_owner(to, caller, *task),
+            GatewayAction::KeepRelayed { caller, relayed } => self.adopt(caller, &relayed),
+            GatewayAction::ReleaseRelayed { caller } => {
                 self.waiting.remove(&caller);
             }
             GatewayAction::Read {
@@ -324,9 +324,9 @@
             GatewayAction::SetLimits { limits } => {
                 self.outlets.limits.send_replace(limits);
             }
-            GatewayAction::Finished(note) => {
-                log_lines::finished(&note);
-                self.outlets.metrics.finished(&note);
+            GatewayAction::Finished(summary) => {
+                log_lines::finished(&summary);
+                self.outlets.metrics.finished(&summary);
             }
             GatewayAction::Changed(change) => {
                 log_lines::changed(&change);
@@ -367,7 +367,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "relayed request refused");
-                self.follow_up.push(GatewayEvent::RelayUnusable { caller });
+                self.follow_up.push(GatewayEvent::RelayMalformed { caller });
             }
         }
     }
@@ -396,9 +396,9 @@
         attempt: AttemptId,
         caller: CallerId,
         instance: &BackEndId,
-        patience: Duration,
+        caller_timeout: Duration,
     ) {
-        let job = self.job(attempt, caller, instance, patience);
+        let job = self.job(attempt, caller, instance, caller_timeout);
         let open = self.connections.get(&connection);
         let sent = match (job, open) {
             (Some(job), Some(open)) => open.jobs.send(job).is_ok(),
@@ -420,7 +420,7 @@
         attempt: AttemptId,
         caller: CallerId,
         instance: &BackEndId,
-        patience: Duration,
+        caller_timeout: Duration,
     ) -> Option<Job> {
         let waiting = self.waiting.get(&caller)?;
         let mut request = Request::new(Full::new(waiting.body.clone()));
@@ -430,7 +430,10 @@
         let mut headers = waiting.parts.headers.clone();
         let names = &self.names;
         let id = headers.get(&names.request_id)?.clone();
-        headers.insert(&names.patience, number(patience.as_millis() as u64));
+        headers.insert(
+            &names.caller_timeout,
+            number(caller_timeout.as_millis() as u64),
+        );
         let instance = HeaderValue::from_str(instance.as_str()).ok()?;
         headers.insert(&names.expected_instance, instance);
         if waiting.sent_length || !waiting.body.is_empty() {
--- a/crates/thornbridge-node/src/gateway/log_lines.rs
+++ b/crates/thornbridge-node/src/gateway/log_lines.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 use thornbridge_core::gateway::{
-    AttemptNote, GatewayChange, RequestNote, SliceNote, SourceFailure,
+    AttemptSummary, GatewayChange, RequestSummary, SliceSummary, SourceFailure,
 };
 use thornbridge_proto::BackEndId;
 
@@ -11,40 +11,41 @@
 const ATTEMPTS_NAMED: usize = 8;
 
 /// A request ended.
-pub(super) fn finished(note: &RequestNote) {
+pub(super) fn finished(summary: &RequestSummary) {
     log::info!(
-        id = note.id.as_str(),
-        fingerprint:% = note.fingerprint,
-        route = note.route.as_str(),
-        outcome = note.outcome,
-        version = note.version.0,
-        registry = note.registry.number,
-        took_ms = millis(note.took),
-        answer_by_ms = millis(note.objective),
-        parts = note.parts,
-        of = note.of,
-        attempts = note.attempts,
-        denied = note.denied,
-        caller_try = note.caller_try.as_str(),
-        retry_after_ms = or_never(note.retry_after),
-        coordinator = coordinator(note).as_str(),
-        owners = owners(&note.slices).as_str(),
-        notable = named(&note.notable).as_str();
+        id = summary.id.as_str(),
+        fingerprint:% = summary.fingerprint,
+        route = summary.route.as_str(),
+        outcome = summary.outcome,
+        version = summary.version.0,
+        registry = summary.registry.number,
+        took_ms = millis(summary.duration),
+        answer_by_ms = millis(summary.answer_due),
+        parts = summary.parts_answered,
+        of = summary.parts_requested,
+        attempts = summary.attempts_sent,
+        denied = summary.extra_attempts_denied,
+        caller_try = summary.caller_try.as_str(),
+        retry_after_ms = or_never(summary.retry_after),
+        coordinator = coordinator(summary).as_str(),
+        owners = owners(&summary.slices).as_str(),
+        notable = named(&summary.notable_attempts).as_str();
         "request"
     );
 }
 
 /// The node whose caller's request it was, where this one answered a slice of it.
-fn coordinator(note: &RequestNote) -> String {
-    note.coordinator
+fn coordinator(summary: &RequestSummary) -> String {
+    summary
+        .coordinator
         .map_or_else(String::new, |address| address.to_string())
 }
 
 /// Owners that were asked for slices: when, and how each stood at the end.
-fn owners(slices: &[SliceNote]) -> String {
+fn owners(slices: &[SliceSummary]) -> String {
     let mut text = String::new();
     for slice in slices {
-        let asked_ms = millis(slice.asked_after);
+        let asked_ms = millis(slice.requested_after);
         let outcome = slice.outcome.as_str();
         // Writing to a string cannot fail.
         let _ = write!(text, "{}@{asked_ms}:{outcome};", slice.owner);
@@ -52,7 +53,7 @@
     text
 }
 
-fn named(attempts: &[AttemptNote]) -> String {
+fn named(attempts: &[AttemptSummary]) -> String {
     let mut text = String::new();
     for attempt in attempts.iter().take(ATTEMPTS_NAMED) {
         let _ = write!(
@@ -63,8 +64,8 @@
             millis(attempt.sent_after),
             attempt.outcome.as_str()
         );
-        if let Some(took) = attempt.took {
-            let _ = write!(text, "+{}", millis(took));
+        if let Some(duration) = attempt.duration {
+            let _ = write!(text, "+{}", millis(duration));
         }
         text.push(';');
     }
@@ -77,7 +78,7 @@
 /// A state changed.
 pub(super) fn changed(change: &GatewayChange) {
     match change {
-        GatewayChange::ConfigurationInForce {
+        GatewayChange::ConfigurationActivated {
             version,
             replaced,
             origin,
@@ -89,7 +90,7 @@
             staged_ms = millis(*staged_for);
             "configuration in force"
         ),
-        GatewayChange::ObjectRefused { name, reason } => {
+        GatewayChange::ObjectRejected { name, reason } => {
             log::warn!(name = name.as_str(), reason = reason.as_str(); "object refused");
         }
         GatewayChange::Instance {
@@ -122,7 +123,7 @@
             origin = origin.as_str();
             "evacuation"
         ),
-        GatewayChange::RegistryKnown {
+        GatewayChange::RegistryLoaded {
             instances,
             revision,
             origin,
@@ -149,7 +150,7 @@
             origin = origin.as_str();
             "store era"
         ),
-        GatewayChange::Source {
+        GatewayChange::StoreReachability {
             kind,
             reachable,
             failure,
@@ -161,10 +162,10 @@
             age_ms = millis(*age);
             "store"
         ),
-        GatewayChange::Trust { id, avoided, cause } => {
+        GatewayChange::ServerAvoidance { id, avoided, cause } => {
             log::info!(id = id.as_str(), avoided = *avoided, cause = *cause; "server trust");
         }
-        GatewayChange::Reading { reads, rank, age } => log::info!(
+        GatewayChange::StoreReader { reads, rank, age } => log::info!(
             reads = *reads,
             rank = *rank,
             age_ms = or_never(*age);
@@ -180,14 +181,14 @@
             opened = *opened;
             "server connections"
         ),
-        GatewayChange::OwnersMissing {
+        GatewayChange::OwnersSilent {
             silent,
             slices,
-            lasts,
+            duration,
         } => log::info!(
             silent = *silent,
             slices = *slices,
-            lasts_ms = millis(*lasts);
+            lasts_ms = millis(*duration);
             "owners missing"
         ),
         GatewayChange::Quarantine {
@@ -203,8 +204,8 @@
             "request quarantine"
         ),
         GatewayChange::Members { members } => log::info!(members = *members; "members"),
-        GatewayChange::BudgetSharers { sharers } => {
-            log::info!(sharers = sharers.unwrap_or_default(); "budget sharers");
+        GatewayChange::BudgetMembers { members } => {
+            log::info!(sharers = members.unwrap_or_default(); "budget sharers");
         }
         GatewayChange::Lifecycle { state } => log::info!(state = *state; "node"),
     }
--- a/crates/thornbridge-rehearsal/src/gateway/scenario.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/scenario.rs
@@ -22,7 +22,7 @@
     /// Mean work at a server.
     pub work: Duration,
     /// Time that callers wait.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
 }
 
 /// When nodes start.
@@ -114,13 +114,13 @@
                     prefix: GATHER_PREFIX.to_owned(),
                     rate: 60.0,
                     work: Duration::from_millis(9),
-                    patience: Duration::from_millis(1_500),
+                    caller_timeout: Duration::from_millis(1_500),
                 },
                 RouteLoad {
                     prefix: PLAIN_PREFIX.to_owned(),
                     rate: 20.0,
                     work: Duration::from_millis(90),
-                    patience: Duration::from_millis(6_000),
+                    caller_timeout: Duration::from_millis(6_000),
                 },
             ],
             first_zone_share: None,
@@ -147,7 +147,7 @@
         scenario.length = Duration::from_secs(12);
         scenario.budget.1 = 200.0;
         scenario.parameters.budget.slack = 200.0;
-        scenario.parameters.fit_processor(0.05);
+        scenario.parameters.set_processor_share(0.05);
         scenario
     }
 
@@ -160,7 +160,7 @@
         scenario.loads[0].rate = 12.0;
         scenario.loads[1].rate = 5.0;
         scenario.processor_share = Some(share);
-        scenario.parameters.fit_processor(share);
+        scenario.parameters.set_processor_share(share);
         scenario
     }
 
@@ -176,7 +176,7 @@
         scenario.plain_servers = 24;
         scenario.loads.clear();
         scenario.length = Duration::from_secs(6);
-        scenario.parameters.fit_processor(0.12);
+        scenario.parameters.set_processor_share(0.12);
         let replace = GatewayFault::Replace {
             server: 0,
             silent: false,
--- a/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
@@ -37,13 +37,13 @@
                 attempt,
                 caller,
                 instance,
-                patience,
+                caller_timeout,
             } => {
                 let Some(request) = self.request_of(node, caller) else {
                     return;
                 };
                 if self.in_touch(node) {
-                    self.oracle.patience(self.now, request, patience);
+                    self.oracle.patience(self.now, request, caller_timeout);
                 }
                 let Some(server) = self.machines[node].connections.get(&connection).copied() else {
                     return;
@@ -78,23 +78,23 @@
                 self.schedule(STORE_TIME, call);
             }
             GatewayAction::SendPeer { to, message } => self.send_to_peer(node, to, message),
-            GatewayAction::AskOwner { to, caller, task } => {
+            GatewayAction::SendTask { to, caller, task } => {
                 let request = SharedBytes::from(caller.0.to_le_bytes().to_vec());
                 let task = *task;
                 let message = PeerMessage::Slice(SliceMessage::Ask { task, request });
                 self.send_to_peer(node, to, message);
             }
-            GatewayAction::Adopt { caller, relayed } => {
+            GatewayAction::KeepRelayed { caller, relayed } => {
                 let number = <[u8; 8]>::try_from(relayed.as_slice());
                 let number = number.expect("a request's number");
                 let adopted = &mut self.machines[node].adopted;
                 adopted.insert(caller, u64::from_le_bytes(number));
             }
-            GatewayAction::Release { caller } => {
+            GatewayAction::ReleaseRelayed { caller } => {
                 self.machines[node].adopted.remove(&caller);
             }
             GatewayAction::SetReady { ready } => self.machines[node].ready = ready,
-            GatewayAction::Changed(GatewayChange::ConfigurationInForce { version, .. }) => {
+            GatewayAction::Changed(GatewayChange::ConfigurationActivated { version, .. }) => {
                 self.in_force(node, version.0);
             }
             GatewayAction::Changed(GatewayChange::Instance { id, state, .. }) => {
@@ -168,16 +168,19 @@
         round_trip: Duration,
     ) {
         let taken = self.servers[server].connect(self.now, (node, life), connection);
-        let took = round_trip + ACCEPT;
-        let opened = Box::new(GatewayEvent::ConnectionOpened { connection, took });
-        self.schedule(took, Occurrence::ToNode(node, life, opened));
+        let connect_time = round_trip + ACCEPT;
+        let opened = Box::new(GatewayEvent::ConnectionOpened {
+            connection,
+            connect_time,
+        });
+        self.schedule(connect_time, Occurrence::ToNode(node, life, opened));
         if taken {
             self.machines[node].connections.insert(connection, server);
             return;
         }
         self.report.over_limit += 1;
         let lost = Box::new(GatewayEvent::ConnectionLost { connection });
-        let after = took + Duration::from_millis(1);
+        let after = connect_time + Duration::from_millis(1);
         self.schedule(after, Occurrence::ToNode(node, life, lost));
     }
 
@@ -209,7 +212,7 @@
         asking.node = (node, life);
         let load = self.scenario.loads[asking.load].clone();
         let gather = load.prefix == GATHER_PREFIX;
-        let patience = asking.until.since(self.now);
+        let caller_timeout = asking.until.since(self.now);
         let limit = match gather {
             true => Duration::from_millis(1_500),
             false => Duration::from_millis(6_000),
@@ -217,7 +220,7 @@
         let asked = Asked {
             at: self.now,
             repeatable: gather || self.scenario.plain_repeatable,
-            limit: limit.min(patience),
+            limit: limit.min(caller_timeout),
             attempts: 2,
             refused_not_run: false,
             content: asking.content,
@@ -229,7 +232,7 @@
             fingerprint: Fingerprint(u128::from(asking.content)),
             host: HOST.to_owned(),
             path: format!("{}{request}", load.prefix),
-            patience: Some(patience),
+            caller_timeout: Some(caller_timeout),
             first_on_connection: self.random.random_range(0..4) == 0,
         };
         let until = asking.until;
@@ -377,7 +380,7 @@
         };
         self.report.failed += u64::from(self.is_ordinary(left.content));
         let (node, life) = left.node;
-        let gone = GatewayEvent::CallerGone {
+        let gone = GatewayEvent::CallerDisconnected {
             caller: Self::caller_id(request),
         };
         let delay = self.caller_way();
