--- a/crates/thornbridge-core/src/gateway/action.rs
+++ b/crates/thornbridge-core/src/gateway/action.rs
@@ -42,7 +42,7 @@
     NoIdentity,
     /// No server of the service is available.
     NoServer,
-    /// All servers that were tried rejected the request.
+    /// The last attempt was rejected by its server without running.
     ServersBusy,
     /// This node has too many requests in flight.
     Overloaded,
--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -224,7 +224,7 @@
 /// Input of [`Gateway::handle`](super::Gateway::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayEvent {
-    /// Measured delay between deciding on an answer and writing it.
+    /// The delay between deciding on an answer and writing it was measured.
     AnswerDelayed {
         /// Delay.
         delay: Duration,
@@ -311,7 +311,7 @@
         /// New parameters; membership parameters are ignored.
         parameters: Box<GatewayParameters>,
     },
-    /// The process was suspended.
+    /// The process resumed after a suspension.
     Paused {
         /// Length of the suspension.
         duration: Duration,
