--- a/crates/thornbridge-core/src/gateway/tests/answers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/answers.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn at_most_once_request_is_not_retried_after_possible_run() {
+fn at_most_once_request_is_not_retried_after_sending() {
     let routes = vec![route("/", service("s"), AtMostOnce)];
     let mut harness = Harness::serving(routes, &[("s1", "s"), ("s2", "s")]);
     for _ in 0..4 {
--- a/crates/thornbridge-core/src/gateway/tests/pending.rs
+++ b/crates/thornbridge-core/src/gateway/tests/pending.rs
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn first_try_is_refused_at_once_with_too_few_shards() {
+fn first_try_with_too_few_shards_is_refused_immediately() {
     let mut harness = serving_one_of_two_shards();
     harness.send_request("/x");
     harness.send_request("/x");
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn plain_request_goes_to_one_server_at_a_time_after_crash() {
+fn request_is_not_hedged_after_crash() {
     let plain = route("/one/", service("plain"), Repeatability::Repeatable);
     let servers = [("p-0", "plain"), ("p-1", "plain"), ("p-2", "plain")];
     let mut harness = Harness::serving(vec![plain], &servers);
--- a/crates/thornbridge-core/src/gateway/tests/routing.rs
+++ b/crates/thornbridge-core/src/gateway/tests/routing.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn removed_server_is_used_as_last_resort_during_grace_period() {
+fn removed_server_is_last_resort_during_grace_period() {
     let mut harness = gateway_with_two_servers();
     let removed =
         |id: &str| ViewObject::InstanceRemoved(StoreRevision::without_era(60), BackEndId::new(id));
--- a/crates/thornbridge-core/tests/members/health.rs
+++ b/crates/thornbridge-core/tests/members/health.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn leaving_back_end_is_known_to_all_within_three_seconds() {
+fn leaving_back_end_is_known_within_three_seconds() {
     for seed in 0..5 {
         let mut cluster = converged_cluster(seed);
         set_readiness(&mut cluster, 5, Readiness::Leaving);
--- a/crates/thornbridge-core/tests/members/membership.rs
+++ b/crates/thornbridge-core/tests/members/membership.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn crash_and_leave_are_known_to_all_within_three_seconds() {
+fn crash_and_leave_are_known_within_three_seconds() {
     for (seed, reports_link_down) in [(1, false), (2, true), (3, false)] {
         let network = Network {
             reports_link_down,
