--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -200,7 +200,7 @@
     pub hedge_reserve: f64,
     /// Least delay of a hedge.
     pub hedge_minimum: Duration,
-    /// Delay of a hedge before the work is known, as a share of the latency objective.
+    /// Initial delay of hedges, as a share of the latency objective.
     pub hedge_initial_share: f64,
     /// Interval between checks of a request that waits for the budget or a server.
     pub look_interval: Duration,
@@ -282,7 +282,7 @@
     /// Processor time of this node for one part of a gather. Zero if unknown; gathers are not
     /// divided then.
     pub part_cost: Duration,
-    /// Round trip to another node, before any was measured.
+    /// Assumed round trip to another node.
     pub hop: Duration,
     /// Share of the latency objective that an undivided gather may take of this node's processor
     /// time.
@@ -290,8 +290,7 @@
     /// Upper bound of the time reserved for the round trip to an owner, as a share of the latency
     /// objective.
     pub overhead_share_maximum: f64,
-    /// Time reserved for the round trip to an owner before any was measured, as a share of the
-    /// latency objective.
+    /// Time initially reserved for the round trip to an owner, as a share of the latency objective.
     pub overhead_share_initial: f64,
     /// Half-life of an owner's failures.
     pub failure_half_life: Duration,
@@ -394,11 +393,9 @@
         }
     }
 
-    /// Derives view and server parameters from the operator's bounds.
-    ///
-    /// `activation` is the time within which a new configuration must be active; `drain` and
-    /// `evacuation` are the times after which leaving servers and servers of evacuated zones must get
-    /// no requests.
+    /// Derives view and server parameters from the operator's bounds: the time within which a
+    /// configuration must be active, and the times after which draining servers and servers of
+    /// evacuated zones must get no requests.
     pub fn apply_operator_bounds(
         &mut self,
         activation: Duration,
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -35,7 +35,7 @@
 }
 
 impl Distance {
-    /// Round trip assumed before any was measured.
+    /// Assumed round trip.
     fn default_round_trip(self) -> Duration {
         match self {
             Self::SameZone => Duration::from_micros(500),
--- a/crates/thornbridge-core/src/gateway/tests/budgets.rs
+++ b/crates/thornbridge-core/src/gateway/tests/budgets.rs
@@ -195,7 +195,7 @@
 
 /// Guards against a slack that goes unused because each node's share is less than one attempt.
 #[test]
-fn slack_below_one_attempt_per_node_is_used_within_limit() {
+fn slack_share_below_one_attempt_is_used() {
     let settled = Timestamp::ZERO + Duration::from_secs(60);
     for (nodes, slack) in [(985, 1_040.0), (985, 400.0), (120, 60.0)] {
         for service in 0..20 {
--- a/crates/thornbridge-core/src/gateway/tests/dead_connections.rs
+++ b/crates/thornbridge-core/src/gateway/tests/dead_connections.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn connections_idle_since_before_overdue_attempt_are_not_reused() {
+fn connections_idle_before_overdue_attempt_are_not_reused() {
     let mut harness = node();
     // Two concurrent requests leave two idle connections.
     let first = harness.send_request("/one/1");
--- a/crates/thornbridge-core/src/gateway/tests/queues.rs
+++ b/crates/thornbridge-core/src/gateway/tests/queues.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn late_parts_with_equal_deadlines_are_sent_in_arrival_order() {
+fn late_parts_with_equal_deadlines_keep_arrival_order() {
     let parts = [part(1, 30, 800), part(2, 20, 800), part(3, 10, 800)];
     assert_eq!(order(50, &parts), [1, 2, 3]);
 }
