--- a/crates/thornbridge-core/src/gateway/tests/eras.rs
+++ b/crates/thornbridge-core/src/gateway/tests/eras.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn held_instance_becomes_ready_on_write_or_after_hold_period() {
+fn held_instance_becomes_ready_on_write_or_release() {
     let mut registry = registry();
     registry.replace(Timestamp::ZERO, restored_entries(), at(2, 90));
     let mut rewritten = registry.clone();
--- a/crates/thornbridge-core/src/gateway/tests/evacuations.rs
+++ b/crates/thornbridge-core/src/gateway/tests/evacuations.rs
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn gather_with_too_few_available_shards_is_refused_as_not_run() {
+fn gather_with_too_few_shards_is_refused() {
     let servers = [["a", "x1", "x"], ["b", "y1", "y"]];
     let mut harness = serving(gather(&["x", "y"], 0.9), &servers);
     harness.watch_reply(ViewKind::Evacuations, vec![started("b")], 60);
--- a/crates/thornbridge-core/src/gateway/tests/zone_peers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/zone_peers.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn node_alone_in_its_zone_treats_all_peers_as_nearest() {
+fn single_node_zone_treats_all_peers_as_nearest() {
     let order = members(3);
     let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
--- a/crates/thornbridge-core/src/gateway/views/registry.rs
+++ b/crates/thornbridge-core/src/gateway/views/registry.rs
@@ -179,9 +179,8 @@
 
     /// Merges the entries of a restored store with the state known from the previous era.
     ///
-    /// Draining and restarted instances keep their newer state. An instance removed before is held
-    /// until its entry changes or outlives the hold period, so that no request is sent to a server
-    /// whose removal the store had acknowledged.
+    /// Draining and restarted instances keep their newer state. A removed instance is held until its
+    /// entry changes or outlives the hold period, so that it gets no requests.
     fn merge_restored(
         &self,
         entries: Vec<(StoreRevision, Instance)>,
