--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -27,7 +27,7 @@
     pub path: String,
     /// Remaining time that the caller waits, if stated.
     pub caller_timeout: Option<Duration>,
-    /// Whether this is the first request of its connection; opening one costs the caller a round trip.
+    /// Whether this is the first request of its connection, which cost the caller a round trip.
     pub first_on_connection: bool,
 }
 
--- a/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/dissemination.rs
@@ -1,9 +1,9 @@
 //! Dissemination of crash records among members.
 //!
-//! A suspicion is sent to two members selected by the fingerprint of the request, which aggregate the
-//! crashes seen by different nodes. A quarantine and its end are sent to all members, and
-//! periodically to a random member to repair lost messages. New members receive the records from the
-//! first members in member order.
+//! A suspicion is sent to two members selected by the fingerprint of the request, which aggregate
+//! the crashes seen by different nodes. A quarantine and its end are sent to all members, and
+//! periodically to a random member to repair lost messages. New members receive the records from
+//! the first members in member order.
 
 use super::record::{Audience, Record, Stage};
 use super::{Quarantine, state_change, to_wire};
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -4,15 +4,16 @@
 //! connection that breaks under a request counts as a crash caused by the request, unless a server
 //! has answered the request.
 //!
-//! | stage | entered | sending of the request |
+//! | stage | entered on | request is sent to |
 //! | --- | --- | --- |
-//! | suspected | first crash | to one server at a time |
-//! | probing | `crashes` servers crashed, over all nodes | to `canaries` servers for the time `testing` |
-//! | quarantined | probing ended, or a peer reported enough crashes | to no server; callers are refused |
-//! | cleared | a server answered | unrestricted |
+//! | suspected | first crash | one server at a time |
+//! | probing | crash seen by this node that completes the required number | a few canary servers |
+//! | quarantined | peer record that completes the required number | no server |
+//! | cleared | answer of a server | any server |
 //!
-//! A quarantine expires to the suspected stage. Without the quarantine, a request that is retried at
-//! other nodes could crash all servers of a service.
+//! The required number counts crashes over all nodes. A probing request that is not answered in time
+//! is refused like a quarantined one. Refused requests expire to the suspected stage. Without the
+//! quarantine, a request that is retried at other nodes could crash all servers of a service.
 //!
 //! Unrelated requests that ran on a crashed server are suspected as well. Most are cleared by an
 //! answer; those whose crashes are all explained by another quarantined request are not refused.
@@ -40,7 +41,7 @@
 use thornbridge_proto::fingerprint::Fingerprint;
 use thornbridge_proto::peer::quarantine::CrashRecord;
 
-/// Maximum number of instances in a record: those required for quarantine, canaries, and some slack.
+/// Maximum number of instances in a record: required crashes, canaries and some slack.
 const INSTANCES_KEPT: usize = 8;
 
 /// To how many servers a request may be sent.
@@ -271,8 +272,8 @@
         }
     }
 
-    /// Record of a request to which a crash is to be added; `None` if an answer close to the time of
-    /// the crash shows that the request did not cause it.
+    /// Record of a request to which a crash is to be added; `None` if an answer close to the time
+    /// of the crash shows that the request did not cause it.
     fn record_for_crash(
         &mut self,
         now: Timestamp,
--- a/crates/thornbridge-core/src/gateway/telemetry.rs
+++ b/crates/thornbridge-core/src/gateway/telemetry.rs
@@ -311,7 +311,7 @@
         /// Time since the store last confirmed the views; `None` if it never did.
         age: Option<Duration>,
     },
-    /// Most slice owners of a gather did not respond; this node serves gathers without slices for a while.
+    /// Most slice owners of a gather were silent; this node suspends slicing for a while.
     OwnersSilent {
         /// Number of owners that did not report in time.
         silent: usize,
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -207,7 +207,10 @@
         mixed.extend(received.iter().cloned());
         let shift = order as usize % mixed.len();
         mixed.rotate_left(shift);
-        let distinct: BTreeSet<&BackEndId> = received.iter().flat_map(|record| &record.instances).collect();
+        let distinct: BTreeSet<&BackEndId> = received
+            .iter()
+            .flat_map(|record| &record.instances)
+            .collect();
         let expected = match (received.iter().any(|record| record.cleared), distinct.len()) {
             (true, _) => SendPolicy::Unrestricted,
             (false, 0..3) => SendPolicy::OneAtATime,
