--- a/crates/thornbridge-core/src/gateway/event.rs
+++ b/crates/thornbridge-core/src/gateway/event.rs
@@ -27,7 +27,7 @@
     pub path: String,
     /// Remaining time that the caller waits, if stated.
     pub caller_timeout: Option<Duration>,
-    /// Whether this is the first request of its connection; opening one costs the caller a round trip.
+    /// Whether this is the first request of its connection, which cost the caller a round trip.
     pub first_on_connection: bool,
 }
 
@@ -224,7 +224,7 @@
 /// Input of [`Gateway::handle`](super::Gateway::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum GatewayEvent {
-    /// Measured delay between deciding on an answer and writing it.
+    /// The delay between deciding on an answer and writing it was measured.
     AnswerDelayed {
         /// Delay.
         delay: Duration,
@@ -311,7 +311,7 @@
         /// New parameters; membership parameters are ignored.
         parameters: Box<GatewayParameters>,
     },
-    /// The process was suspended.
+    /// The process resumed after a suspension.
     Paused {
         /// Length of the suspension.
         duration: Duration,
--- a/crates/thornbridge-core/src/gateway/tests/quarantine.rs
+++ b/crates/thornbridge-core/src/gateway/tests/quarantine.rs
@@ -207,7 +207,10 @@
         mixed.extend(received.iter().cloned());
         let shift = order as usize % mixed.len();
         mixed.rotate_left(shift);
-        let distinct: BTreeSet<&BackEndId> = received.iter().flat_map(|record| &record.instances).collect();
+        let distinct: BTreeSet<&BackEndId> = received
+            .iter()
+            .flat_map(|record| &record.instances)
+            .collect();
         let expected = match (received.iter().any(|record| record.cleared), distinct.len()) {
             (true, _) => SendPolicy::Unrestricted,
             (false, 0..3) => SendPolicy::OneAtATime,
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn plain_request_goes_to_one_server_at_a_time_after_crash() {
+fn request_is_not_hedged_after_crash() {
     let plain = route("/one/", service("plain"), Repeatability::Repeatable);
     let servers = [("p-0", "plain"), ("p-1", "plain"), ("p-2", "plain")];
     let mut harness = Harness::serving(vec![plain], &servers);
