--- a/crates/thornbridge-core/src/routing/attempts.rs
+++ b/crates/thornbridge-core/src/routing/attempts.rs
@@ -11,11 +11,11 @@
 
 /// One attempt.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingAttempt {
     pub(super) owner: AttemptOwner,
     pub(super) attempt: Attempt,
     pub(super) back_end: BackEndIndex,
-    pub(super) handed_over: Timestamp,
+    pub(super) dispatched_at: Timestamp,
     /// When its time left is over.
     pub(super) deadline: Timestamp,
     /// Connection it runs on and the time it was sent; absent while it waits for one.
@@ -29,33 +29,33 @@
 /// All attempts by their identity.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    by_id: LookupMap<AttemptId, Pending>,
+    by_id: LookupMap<AttemptId, PendingAttempt>,
     waiting_deadlines: BTreeSet<(Timestamp, AttemptId)>,
     /// Cancelled ones that still occupy a connection, in order of the time they are awaited to.
     cancelled: VecDeque<(Timestamp, AttemptId)>,
-    last: u64,
+    last_id: u64,
 }
 
 impl Attempts {
     pub(super) fn next_id(&mut self) -> AttemptId {
-        self.last += 1;
-        AttemptId(self.last)
+        self.last_id += 1;
+        AttemptId(self.last_id)
     }
 
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    pub(super) fn get(&self, id: AttemptId) -> Option<&Pending> {
+    pub(super) fn get(&self, id: AttemptId) -> Option<&PendingAttempt> {
         self.by_id.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: AttemptId) -> Option<&mut Pending> {
+    pub(super) fn get_mut(&mut self, id: AttemptId) -> Option<&mut PendingAttempt> {
         self.by_id.get_mut(&id)
     }
 
     /// Takes in an attempt that is sent at once.
-    pub(super) fn insert(&mut self, pending: Pending) {
+    pub(super) fn insert(&mut self, pending: PendingAttempt) {
         self.by_id.insert(pending.attempt.attempt, pending);
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// The attempt ended.
-    pub(super) fn remove(&mut self, id: AttemptId) -> Option<Pending> {
+    pub(super) fn remove(&mut self, id: AttemptId) -> Option<PendingAttempt> {
         let pending = self.by_id.remove(&id)?;
         if pending.sent.is_none() {
             self.waiting_deadlines.remove(&(pending.deadline, id));
@@ -82,9 +82,9 @@
         Some(pending)
     }
 
-    /// The attempt was cancelled; its connection is given up at `until`.
-    pub(super) fn cancelled(&mut self, id: AttemptId, until: Timestamp) {
-        self.cancelled.push_back((until, id));
+    /// The attempt was cancelled; its connection is given up at `expires_at`.
+    pub(super) fn record_cancellation(&mut self, id: AttemptId, expires_at: Timestamp) {
+        self.cancelled.push_back((expires_at, id));
     }
 
     /// A waiting attempt whose time is over.
@@ -94,10 +94,10 @@
     }
 
     /// A cancelled attempt whose reply is overdue.
-    pub(super) fn next_overdue(&mut self, now: Timestamp) -> Option<AttemptId> {
-        self.drop_ended();
-        let (until, id) = *self.cancelled.front()?;
-        if until > now {
+    pub(super) fn next_unanswered_cancellation(&mut self, now: Timestamp) -> Option<AttemptId> {
+        self.remove_ended();
+        let (expires_at, id) = *self.cancelled.front()?;
+        if expires_at > now {
             return None;
         }
         self.cancelled.pop_front();
@@ -111,7 +111,7 @@
     }
 
     /// Forgets cancelled attempts at the front that have ended meanwhile.
-    pub(super) fn drop_ended(&mut self) {
+    pub(super) fn remove_ended(&mut self) {
         while let Some((_, id)) = self.cancelled.front() {
             if self.by_id.contains_key(id) {
                 return;
--- a/crates/thornbridge-core/src/routing/back_end.rs
+++ b/crates/thornbridge-core/src/routing/back_end.rs
@@ -31,7 +31,7 @@
     /// In the configuration in force. Where not, it only finishes what it has.
     pub(super) configured: bool,
     /// Connections this node may have to it; 0 outside the subset.
-    pub(super) share: u32,
+    pub(super) connection_share: u32,
     /// Attempts handed over and not ended, cancelled ones included.
     pub(super) in_flight: u32,
     pub(super) pool: Pool,
@@ -48,11 +48,11 @@
 impl BackEndState {
     /// Whether it may get anything new.
     pub(super) fn takes_new_work(&self) -> bool {
-        self.configured && self.share > 0 && !self.health.is_leaving()
+        self.configured && self.connection_share > 0 && !self.health.is_leaving()
     }
 
     /// Whether it is a plain choice: takes work, reachable, not ejected.
-    pub(super) fn is_sound(&self) -> bool {
+    pub(super) fn is_healthy(&self) -> bool {
         self.takes_new_work()
             && !self.health.is_unreachable()
             && !self.health.is_reported_unreachable()
@@ -78,9 +78,9 @@
 /// All back ends and services.
 #[derive(Debug, Default)]
 pub(super) struct BackEndTable {
-    slots: Vec<Option<BackEndState>>,
+    entries: Vec<Option<BackEndState>>,
     by_id: LookupMap<BackEndId, BackEndIndex>,
-    free: Vec<BackEndIndex>,
+    free_indices: Vec<BackEndIndex>,
     pub(super) services: Vec<ServiceState>,
     /// Replicas of each shard of each layout.
     pub(super) groups: Vec<Vec<BackEndIndex>>,
@@ -92,54 +92,54 @@
     }
 
     pub(super) fn get(&self, index: BackEndIndex) -> Option<&BackEndState> {
-        self.slots.get(index.0 as usize)?.as_ref()
+        self.entries.get(index.0 as usize)?.as_ref()
     }
 
     pub(super) fn get_mut(&mut self, index: BackEndIndex) -> Option<&mut BackEndState> {
-        self.slots.get_mut(index.0 as usize)?.as_mut()
+        self.entries.get_mut(index.0 as usize)?.as_mut()
     }
 
-    pub(super) fn find(&self, id: &BackEndId) -> Option<&BackEndState> {
+    pub(super) fn get_by_id(&self, id: &BackEndId) -> Option<&BackEndState> {
         self.get(self.index(id)?)
     }
 
     pub(super) fn indices(&self) -> impl Iterator<Item = BackEndIndex> + use<> {
-        (0..self.slots.len() as u32).map(BackEndIndex)
+        (0..self.entries.len() as u32).map(BackEndIndex)
     }
 
     pub(super) fn states(&self) -> impl Iterator<Item = &BackEndState> {
-        self.slots.iter().flatten()
+        self.entries.iter().flatten()
     }
 
     /// Logarithm of the usual latency of a service.
-    pub(super) fn usual_latency(&self, service: ServiceIndex) -> Option<f32> {
+    pub(super) fn baseline_log2_us(&self, service: ServiceIndex) -> Option<f32> {
         self.services
             .get(service.0 as usize)?
             .latency
-            .plain_logarithm()
+            .mean_log2_us()
     }
 
     pub(super) fn insert(&mut self, state: BackEndState) -> BackEndIndex {
-        let index = self.free.pop().unwrap_or_else(|| {
-            self.slots.push(None);
-            BackEndIndex(self.slots.len() as u32 - 1)
+        let index = self.free_indices.pop().unwrap_or_else(|| {
+            self.entries.push(None);
+            BackEndIndex(self.entries.len() as u32 - 1)
         });
         self.by_id.insert(state.id.clone(), index);
-        self.slots[index.0 as usize] = Some(state);
+        self.entries[index.0 as usize] = Some(state);
         index
     }
 
     /// Forgets a back end that is no longer configured once nothing of it is left.
-    pub(super) fn forget_if_drained(&mut self, index: BackEndIndex) {
-        let over = self
+    pub(super) fn remove_if_drained(&mut self, index: BackEndIndex) {
+        let removable = self
             .get(index)
             .is_some_and(|state| !state.configured && state.is_drained());
-        if !over {
+        if !removable {
             return;
         }
-        if let Some(state) = self.slots[index.0 as usize].take() {
+        if let Some(state) = self.entries[index.0 as usize].take() {
             self.by_id.remove(&state.id);
-            self.free.push(index);
+            self.free_indices.push(index);
         }
     }
 
@@ -165,7 +165,7 @@
 
     fn set_groups(&mut self, bundle: &Bundle) {
         self.groups.clear();
-        self.slots
+        self.entries
             .iter_mut()
             .flatten()
             .for_each(|state| state.groups.clear());
--- a/crates/thornbridge-core/src/routing/back_end_limit.rs
+++ b/crates/thornbridge-core/src/routing/back_end_limit.rs
@@ -38,7 +38,7 @@
 pub(super) struct BackEndLimit {
     limit: f32,
     maximum: f32,
-    lowered: Option<Timestamp>,
+    last_decrease: Option<Timestamp>,
     paused_until: Timestamp,
 }
 
@@ -47,13 +47,13 @@
         Self {
             limit: parameters.initial,
             maximum: parameters.initial,
-            lowered: None,
+            last_decrease: None,
             paused_until: Timestamp::ZERO,
         }
     }
 
     /// The back end shed an attempt while `in_flight` were there.
-    pub(super) fn shed(
+    pub(super) fn record_shed(
         &mut self,
         parameters: &BackEndLimitParameters,
         now: Timestamp,
@@ -61,18 +61,18 @@
         retry_after: Duration,
     ) {
         self.paused_until = now + retry_after.min(parameters.longest_pause);
-        let lately = self
-            .lowered
-            .is_some_and(|lowered| now.since(lowered) < parameters.decrease_interval);
-        if !lately {
+        let recently_decreased = self
+            .last_decrease
+            .is_some_and(|last_decrease| now.since(last_decrease) < parameters.decrease_interval);
+        if !recently_decreased {
             let used = self.limit.min(in_flight as f32);
             self.limit = (used * parameters.decrease).max(1.0);
-            self.lowered = Some(now);
+            self.last_decrease = Some(now);
         }
     }
 
     /// A useful reply came.
-    pub(super) fn succeeded(&mut self, parameters: &BackEndLimitParameters) {
+    pub(super) fn record_success(&mut self, parameters: &BackEndLimitParameters) {
         if self.limit < self.maximum {
             let raised = self.limit + parameters.increase / self.limit;
             self.limit = raised.min(self.maximum);
@@ -80,7 +80,7 @@
     }
 
     /// Whether another attempt is welcome.
-    pub(super) fn has_room(&self, now: Timestamp, in_flight: u32) -> bool {
+    pub(super) fn has_capacity(&self, now: Timestamp, in_flight: u32) -> bool {
         (in_flight as f32) < self.limit && now >= self.paused_until
     }
 }
--- a/crates/thornbridge-core/src/routing/balancer.rs
+++ b/crates/thornbridge-core/src/routing/balancer.rs
@@ -12,7 +12,7 @@
 //! the odds, so a back end that understates its load gains a bounded share.
 
 use super::back_end::BackEndIndex;
-use super::latency::logarithm_of_ratio;
+use super::latency::approximate_log2;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -63,12 +63,12 @@
 pub(super) struct Candidate {
     pub(super) back_end: BackEndIndex,
     /// Own attempts in flight.
-    pub(super) own: f32,
+    pub(super) own_in_flight: f32,
     /// Work of others, as reported and aged.
-    pub(super) others: f32,
+    pub(super) others_load: f32,
     pub(super) slots: f32,
     /// Logarithm to base 2 of the expected latency; absent where nothing is known.
-    pub(super) latency: Option<f32>,
+    pub(super) latency_log2_us: Option<f32>,
 }
 
 /// Picks one. `candidates` is not empty.
@@ -89,7 +89,7 @@
         let next = draw(random, candidates, position);
         // The draw is already in random order: the first wins where nothing decides.
         best = match parameters.policy {
-            BalancerPolicy::PowerOfTwo if next.own < best.own => next,
+            BalancerPolicy::PowerOfTwo if next.own_in_flight < best.own_in_flight => next,
             BalancerPolicy::Combined => compare(parameters, random, &best, &next),
             _ => best,
         };
@@ -105,7 +105,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum Preference {
     First,
     Second,
     Equal,
@@ -117,58 +117,62 @@
     first: &Candidate,
     second: &Candidate,
 ) -> Candidate {
-    let own = verdict(parameters, first, second, |_| 0.0);
-    let reported = verdict(parameters, first, second, |candidate| candidate.others);
+    let own = preference(parameters, first, second, |_| 0.0);
+    let reported = preference(parameters, first, second, |candidate| candidate.others_load);
     let trusted = own == reported || random.random::<f32>() < parameters.report_trust;
     let decided = if trusted {
         reported
     } else {
-        opposite(own, reported)
+        discount_report(own, reported)
     };
     match decided {
-        Verdict::Second => *second,
-        Verdict::First | Verdict::Equal => *first,
+        Preference::Second => *second,
+        Preference::First | Preference::Equal => *first,
     }
 }
 
 /// What to do when a report is not trusted: own knowledge where it says something, else the
 /// other one of the two.
-fn opposite(own: Verdict, reported: Verdict) -> Verdict {
+fn discount_report(own: Preference, reported: Preference) -> Preference {
     match (own, reported) {
-        (Verdict::Equal, Verdict::First) => Verdict::Second,
-        (Verdict::Equal, Verdict::Second) => Verdict::First,
+        (Preference::Equal, Preference::First) => Preference::Second,
+        (Preference::Equal, Preference::Second) => Preference::First,
         _ => own,
     }
 }
 
 /// Which is better: by cost where that differs enough, else by load.
-fn verdict(
+fn preference(
     parameters: &BalancerParameters,
     first: &Candidate,
     second: &Candidate,
-    others: impl Fn(&Candidate) -> f32,
-) -> Verdict {
-    let (first_others, second_others) = (others(first), others(second));
-    let tolerance = logarithm_of_ratio(parameters.tolerance);
-    let costs = cost(first, first_others) - cost(second, second_others);
-    if costs.abs() > tolerance {
-        return lower(costs);
+    others_load: impl Fn(&Candidate) -> f32,
+) -> Preference {
+    let (first_others_load, second_others_load) = (others_load(first), others_load(second));
+    let tolerance = approximate_log2(parameters.tolerance);
+    let cost_difference =
+        log2_cost(first, first_others_load) - log2_cost(second, second_others_load);
+    if cost_difference.abs() > tolerance {
+        return prefer_lower(cost_difference);
     }
-    lower((first.own + first_others) / first.slots - (second.own + second_others) / second.slots)
+    prefer_lower(
+        (first.own_in_flight + first_others_load) / first.slots
+            - (second.own_in_flight + second_others_load) / second.slots,
+    )
 }
 
-fn lower(difference: f32) -> Verdict {
+fn prefer_lower(difference: f32) -> Preference {
     if difference < 0.0 {
-        Verdict::First
+        Preference::First
     } else if difference > 0.0 {
-        Verdict::Second
+        Preference::Second
     } else {
-        Verdict::Equal
+        Preference::Equal
     }
 }
 
 /// Logarithm of the expected latency with one attempt more.
-fn cost(candidate: &Candidate, others: f32) -> f32 {
-    let load = (candidate.own + others + 1.0) / candidate.slots.max(1.0);
-    candidate.latency.unwrap_or(0.0) + logarithm_of_ratio(1.0 + load * load * load)
+fn log2_cost(candidate: &Candidate, others_load: f32) -> f32 {
+    let load = (candidate.own_in_flight + others_load + 1.0) / candidate.slots.max(1.0);
+    candidate.latency_log2_us.unwrap_or(0.0) + approximate_log2(1.0 + load * load * load)
 }
--- a/crates/thornbridge-core/src/routing/choosing.rs
+++ b/crates/thornbridge-core/src/routing/choosing.rs
@@ -2,7 +2,7 @@
 
 use super::back_end::{BackEndIndex, BackEndState};
 use super::balancer::{self, Candidate};
-use super::latency::duration_of;
+use super::latency::duration_from_log2_us;
 use super::{NoReplica, Router};
 use crate::context::Context;
 use crate::status::BackEndStatus;
@@ -14,13 +14,13 @@
 
 /// How good a choice a back end is; less is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Standing {
+enum CandidateTier {
     /// Nothing speaks against it.
-    Sound,
+    Preferred,
     /// Better left alone if another can do it: starting slowly, at its limit, has just shed.
-    HeldBack,
+    Deprioritized,
     /// Ejected, or a peer cannot reach it: only where there is nothing else.
-    Doubtful,
+    LastResort,
 }
 
 impl Router {
@@ -31,17 +31,17 @@
         candidates: &[BackEndId],
         excluded: &[BackEndId],
     ) -> Result<BackEndId, NoReplica> {
-        let mut best = Standing::Doubtful;
+        let mut best_tier = CandidateTier::LastResort;
         self.candidates.clear();
         for id in candidates {
-            let Some((standing, candidate)) = self.consider(context, id, excluded) else {
+            let Some((tier, candidate)) = self.evaluate(context, id, excluded) else {
                 continue;
             };
-            if standing < best {
-                best = standing;
+            if tier < best_tier {
+                best_tier = tier;
                 self.candidates.clear();
             }
-            if standing == best {
+            if tier == best_tier {
                 self.candidates.push(candidate);
             }
         }
@@ -49,7 +49,7 @@
             self.counters.no_replica += 1;
             return Err(NoReplica);
         }
-        if best == Standing::Doubtful {
+        if best_tier == CandidateTier::LastResort {
             self.counters.doubtful_choices += 1;
         }
         let parameters = &self.parameters.balancer;
@@ -60,51 +60,54 @@
 
     /// The latency that this share (0 to 1) of the recent attempts at a back end stayed under;
     /// absent where too few are known.
-    pub fn latency_of(&self, back_end: &BackEndId, share: f64) -> Option<Duration> {
-        let state = self.back_ends.find(back_end)?;
-        state.latency.quantile(&self.parameters.latency, share)
+    pub fn latency_of(&self, back_end: &BackEndId, quantile: f64) -> Option<Duration> {
+        let state = self.back_ends.get_by_id(back_end)?;
+        state.latency.quantile(&self.parameters.latency, quantile)
     }
 
     /// The least of the replicas' latencies at this share (0 to 1): what a good replica of the
     /// shard can be expected to keep. The service's own where too little is known of each.
-    pub fn expected_latency(&self, replicas: &[BackEndId], share: f64) -> Option<Duration> {
+    pub fn expected_latency(&self, replicas: &[BackEndId], quantile: f64) -> Option<Duration> {
         let parameters = &self.parameters.latency;
         let known = replicas
             .iter()
-            .filter_map(|id| self.back_ends.find(id))
-            .filter(|state| state.is_sound())
-            .filter_map(|state| state.latency.quantile(parameters, share))
+            .filter_map(|id| self.back_ends.get_by_id(id))
+            .filter(|state| state.is_healthy())
+            .filter_map(|state| state.latency.quantile(parameters, quantile))
             .min();
         known.or_else(|| {
-            let state = replicas.iter().find_map(|id| self.back_ends.find(id))?;
+            let state = replicas
+                .iter()
+                .find_map(|id| self.back_ends.get_by_id(id))?;
             let service = self.back_ends.services.get(state.service.0 as usize)?;
-            service.latency.quantile(parameters, share)
+            service.latency.quantile(parameters, quantile)
         })
     }
 
     /// Mean latency of a back end as it is believed now, the basis of ranking.
     pub fn mean_latency_of(&self, now: Timestamp, back_end: &BackEndId) -> Option<Duration> {
-        let state = self.back_ends.find(back_end)?;
-        self.believed_latency(now, state).map(duration_of)
+        let state = self.back_ends.get_by_id(back_end)?;
+        self.decayed_latency_log2_us(now, state)
+            .map(duration_from_log2_us)
     }
 
     /// Attempts of this node at a back end.
     pub fn in_flight_at(&self, back_end: &BackEndId) -> u32 {
         self.back_ends
-            .find(back_end)
+            .get_by_id(back_end)
             .map_or(0, |state| state.in_flight)
     }
 
     /// Whether a back end could be chosen now without doubt.
-    pub fn is_sound(&self, back_end: &BackEndId) -> bool {
+    pub fn is_healthy(&self, back_end: &BackEndId) -> bool {
         self.back_ends
-            .find(back_end)
-            .is_some_and(BackEndState::is_sound)
+            .get_by_id(back_end)
+            .is_some_and(BackEndState::is_healthy)
     }
 
     /// Snapshots that a back end said it holds, newest first; absent where unknown.
     pub fn snapshots_of(&self, back_end: &BackEndId) -> Option<&[SnapshotId]> {
-        self.back_ends.find(back_end)?.health.snapshots()
+        self.back_ends.get_by_id(back_end)?.health.snapshots()
     }
 
     /// Back ends that are not plainly usable, by identity.
@@ -116,7 +119,7 @@
             .filter_map(|state| {
                 Some(BackEndStatus {
                     back_end: state.id.clone(),
-                    state: state_in_words(state)?.to_owned(),
+                    state: status_text(state)?.to_owned(),
                 })
             })
             .collect();
@@ -124,12 +127,12 @@
         statuses
     }
 
-    fn consider(
+    fn evaluate(
         &self,
         context: &mut Context<'_>,
         id: &BackEndId,
         excluded: &[BackEndId],
-    ) -> Option<(Standing, Candidate)> {
+    ) -> Option<(CandidateTier, Candidate)> {
         if excluded.contains(id) {
             return None;
         }
@@ -138,48 +141,54 @@
         if !state.takes_new_work() || state.health.is_unreachable() {
             return None;
         }
-        let standing = self.standing(context, state);
-        Some((standing, self.candidate(context.now, index, state)))
+        let tier = self.tier(context, state);
+        Some((tier, self.candidate(context.now, index, state)))
     }
 
-    fn standing(&self, context: &mut Context<'_>, state: &BackEndState) -> Standing {
+    fn tier(&self, context: &mut Context<'_>, state: &BackEndState) -> CandidateTier {
         if state.outlier.is_ejected() || state.health.is_reported_unreachable() {
-            return Standing::Doubtful;
+            return CandidateTier::LastResort;
         }
-        if !state.limit.has_room(context.now, state.in_flight) {
-            return Standing::HeldBack;
+        if !state.limit.has_capacity(context.now, state.in_flight) {
+            return CandidateTier::Deprioritized;
         }
         let weight = state
             .slow_start
             .weight(&self.parameters.slow_start, context.now);
         if weight < 1.0 && context.random.random::<f32>() >= weight {
-            return Standing::HeldBack;
+            return CandidateTier::Deprioritized;
         }
-        Standing::Sound
+        CandidateTier::Preferred
     }
 
     fn candidate(&self, now: Timestamp, index: BackEndIndex, state: &BackEndState) -> Candidate {
         let parameters = &self.parameters.load;
-        let latency = self.believed_latency(now, state);
-        let usual = latency.map_or(Duration::ZERO, duration_of);
+        let latency_log2_us = self.decayed_latency_log2_us(now, state);
+        let latency = latency_log2_us.map_or(Duration::ZERO, duration_from_log2_us);
         Candidate {
             back_end: index,
-            own: state.in_flight as f32,
-            others: state.load.others(parameters, now, state.slots, usual),
+            own_in_flight: state.in_flight as f32,
+            others_load: state
+                .load
+                .others_load(parameters, now, state.slots, latency),
             slots: state.slots,
-            latency,
+            latency_log2_us,
         }
     }
 
-    pub(super) fn believed_latency(&self, now: Timestamp, state: &BackEndState) -> Option<f32> {
-        let usual = self.back_ends.usual_latency(state.service);
+    pub(super) fn decayed_latency_log2_us(
+        &self,
+        now: Timestamp,
+        state: &BackEndState,
+    ) -> Option<f32> {
+        let baseline = self.back_ends.baseline_log2_us(state.service);
         state
             .latency
-            .logarithm(&self.parameters.latency, now, usual)
+            .decayed_log2_us(&self.parameters.latency, now, baseline)
     }
 }
 
-fn state_in_words(state: &BackEndState) -> Option<&'static str> {
+fn status_text(state: &BackEndState) -> Option<&'static str> {
     if state.health.is_leaving() {
         Some("leaving")
     } else if state.health.is_unreachable() || state.health.is_reported_unreachable() {
--- a/crates/thornbridge-core/src/routing/connecting.rs
+++ b/crates/thornbridge-core/src/routing/connecting.rs
@@ -10,27 +10,27 @@
 impl Router {
     /// A connection is open.
     pub fn connection_opened(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(known) = self.connections.get(connection) else {
+        let Some(tracked) = self.connections.get(connection) else {
             return;
         };
-        if known.state != ConnectionState::Opening {
+        if tracked.state != ConnectionState::Opening {
             return;
         }
         self.connections
             .set_state(connection, ConnectionState::Idle);
-        if let Some(state) = self.back_ends.get_mut(known.back_end) {
+        if let Some(state) = self.back_ends.get_mut(tracked.back_end) {
             state.pool.opening -= 1;
             state.pool.backoff.reset();
         }
-        self.observe_connected(context, known.back_end);
+        self.observe_connected(context, tracked.back_end);
         self.release(context, connection);
-        self.back_ends.forget_if_drained(known.back_end);
+        self.back_ends.remove_if_drained(tracked.back_end);
     }
 
     /// A connection was lost, or could not be opened. Attempts that wait stay where another
     /// connection can still serve them; else they end, and [`Self::poll_finished`] gives them.
     pub fn connection_lost(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(lost) = self.forget(connection) else {
+        let Some(lost) = self.remove_connection(connection) else {
             return;
         };
         match lost.state {
@@ -45,13 +45,13 @@
                 self.finished.extend(finished);
             }
         }
-        self.open_where_needed(context, lost.back_end);
-        self.fail_hopeless(context, lost.back_end);
-        self.back_ends.forget_if_drained(lost.back_end);
+        self.open_for_waiting(context, lost.back_end);
+        self.fail_waiting_if_unconnected(context, lost.back_end);
+        self.back_ends.remove_if_drained(lost.back_end);
     }
 
     /// Opens connections for attempts that wait, within the share.
-    pub(super) fn open_where_needed(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    pub(super) fn open_for_waiting(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let waiting = state.pool.waiting.len() as u32;
             if state.pool.opening >= waiting || !self.try_open(context, index) {
@@ -61,7 +61,7 @@
     }
 
     /// Opens connections that are kept without any use, within the share.
-    pub(super) fn open_warm(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    pub(super) fn open_warm_connections(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let warm = self.parameters.connections.warm;
         while let Some(state) = self.back_ends.get(index) {
             if state.pool.open() >= warm || !self.try_open(context, index) {
@@ -72,16 +72,16 @@
 
     /// A connection that was engaged is free: it takes the next attempt, rests, or is closed.
     pub(super) fn release(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(known) = self.connections.get(connection) else {
+        let Some(tracked) = self.connections.get(connection) else {
             return;
         };
-        let Some(state) = self.back_ends.get_mut(known.back_end) else {
+        let Some(state) = self.back_ends.get_mut(tracked.back_end) else {
             return;
         };
-        let unwanted = !state.takes_new_work() || state.pool.open() > state.share;
-        if known.retired || unwanted {
+        let surplus = !state.takes_new_work() || state.pool.open() > state.connection_share;
+        if tracked.retired || surplus {
             self.close(context, connection);
-            self.open_where_needed(context, known.back_end);
+            self.open_for_waiting(context, tracked.back_end);
             return;
         }
         if let Some(attempt) = state.pool.waiting.pop_front() {
@@ -89,23 +89,23 @@
             self.send(context, connection, attempt);
             return;
         }
-        state.pool.disengage(connection);
+        state.pool.remove_in_use(connection);
         state.pool.idle.push(connection);
         self.connections
             .set_state(connection, ConnectionState::Idle);
     }
 
     /// An idle connection, already taken out of the idle ones, is put to use.
-    pub(super) fn engage(&mut self, index: BackEndIndex, connection: ConnectionId) {
+    pub(super) fn mark_in_use(&mut self, index: BackEndIndex, connection: ConnectionId) {
         if let Some(state) = self.back_ends.get_mut(index) {
-            state.pool.engaged.push(connection);
-            state.pool.note_use();
+            state.pool.in_use.push(connection);
+            state.pool.record_use();
         }
     }
 
     /// Closes a connection whatever its state.
     pub(super) fn close(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        if self.forget(connection).is_some() {
+        if self.remove_connection(connection).is_some() {
             self.counters.connections_closed += 1;
             context.act(Action::CloseConnection { connection });
         }
@@ -115,7 +115,7 @@
     pub(super) fn close_surplus(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let kept = if state.takes_new_work() {
-                state.share
+                state.connection_share
             } else {
                 0
             };
@@ -134,22 +134,26 @@
         let Some(state) = self.back_ends.get(index) else {
             return;
         };
-        let engaged = state.pool.engaged.clone();
+        let in_use = state.pool.in_use.clone();
         for connection in state.pool.idle.clone() {
             self.close(context, connection);
         }
-        for connection in engaged {
+        for connection in in_use {
             self.connections.retire(connection);
         }
     }
 
     /// Ends waiting attempts where no connection is open or being opened.
-    pub(super) fn fail_hopeless(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
-        let hopeless = self
+    pub(super) fn fail_waiting_if_unconnected(
+        &mut self,
+        context: &mut Context<'_>,
+        index: BackEndIndex,
+    ) {
+        let unconnected = self
             .back_ends
             .get(index)
             .is_some_and(|state| state.pool.open() == 0);
-        if hopeless {
+        if unconnected {
             self.fail_waiting(context, index);
         }
     }
@@ -159,15 +163,15 @@
             return false;
         };
         let allowed = state.takes_new_work()
-            && state.pool.open() < state.share
+            && state.pool.open() < state.connection_share
             && state.pool.backoff.allows(context.now);
         if !allowed {
             return false;
         }
-        let connection = self.connections.begin(index);
-        state.pool.engaged.push(connection);
+        let connection = self.connections.insert_opening(index);
+        state.pool.in_use.push(connection);
         state.pool.opening += 1;
-        state.pool.note_use();
+        state.pool.record_use();
         self.counters.connections_opened += 1;
         context.act(Action::OpenConnection {
             connection,
@@ -183,27 +187,27 @@
             return;
         };
         let parameters = &self.parameters.connections;
-        let again = state
+        let retry_at = state
             .pool
             .backoff
-            .failed(parameters, context.now, context.random);
-        self.reconnects.insert((again, index));
+            .record_failure(parameters, context.now, context.random);
+        self.reconnects.insert((retry_at, index));
         if state.pool.established() == 0 {
             self.observe_unreachable(context, index);
         }
     }
 
     /// Takes a connection out of the books.
-    fn forget(&mut self, connection: ConnectionId) -> Option<Connection> {
-        let known = self.connections.remove(connection)?;
-        if let Some(state) = self.back_ends.get_mut(known.back_end) {
-            if !state.pool.disengage(connection) {
+    fn remove_connection(&mut self, connection: ConnectionId) -> Option<Connection> {
+        let tracked = self.connections.remove(connection)?;
+        if let Some(state) = self.back_ends.get_mut(tracked.back_end) {
+            if !state.pool.remove_in_use(connection) {
                 state.pool.idle.retain(|idle| *idle != connection);
             }
-            if known.state == ConnectionState::Opening {
+            if tracked.state == ConnectionState::Opening {
                 state.pool.opening -= 1;
             }
         }
-        Some(known)
+        Some(tracked)
     }
 }
--- a/crates/thornbridge-core/src/routing/connections.rs
+++ b/crates/thornbridge-core/src/routing/connections.rs
@@ -69,14 +69,14 @@
 #[derive(Debug, Default)]
 pub(super) struct Connections {
     by_id: LookupMap<ConnectionId, Connection>,
-    last: u64,
+    last_id: u64,
 }
 
 impl Connections {
     /// A new connection that is being opened.
-    pub(super) fn begin(&mut self, back_end: BackEndIndex) -> ConnectionId {
-        self.last += 1;
-        let id = ConnectionId(self.last);
+    pub(super) fn insert_opening(&mut self, back_end: BackEndIndex) -> ConnectionId {
+        self.last_id += 1;
+        let id = ConnectionId(self.last_id);
         let connection = Connection {
             back_end,
             state: ConnectionState::Opening,
@@ -111,7 +111,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Pool {
     /// Connections that are not idle: opening or busy.
-    pub(super) engaged: Vec<ConnectionId>,
+    pub(super) in_use: Vec<ConnectionId>,
     /// Free connections; the last one used is taken first, so that the others can age.
     pub(super) idle: Vec<ConnectionId>,
     /// How many of the engaged ones are still being opened.
@@ -120,14 +120,14 @@
     pub(super) waiting: VecDeque<AttemptId>,
     /// Pause after failures to connect.
     pub(super) backoff: Backoff,
-    greatest_use: u32,
-    passes: u32,
+    peak_in_use: u32,
+    housekeeping_passes: u32,
 }
 
 impl Pool {
     /// Connections that count against the share.
     pub(super) fn open(&self) -> u32 {
-        (self.engaged.len() + self.idle.len()) as u32
+        (self.in_use.len() + self.idle.len()) as u32
     }
 
     /// Connections that are open and work.
@@ -136,33 +136,33 @@
     }
 
     /// A connection leaves the engaged ones. True where it was one of them.
-    pub(super) fn disengage(&mut self, id: ConnectionId) -> bool {
-        let position = self.engaged.iter().position(|engaged| *engaged == id);
+    pub(super) fn remove_in_use(&mut self, id: ConnectionId) -> bool {
+        let position = self.in_use.iter().position(|in_use| *in_use == id);
         if let Some(position) = position {
-            self.engaged.swap_remove(position);
+            self.in_use.swap_remove(position);
         }
         position.is_some()
     }
 
     /// Notes how many connections are in use.
-    pub(super) fn note_use(&mut self) {
-        let used = self.engaged.len() as u32;
-        self.greatest_use = self.greatest_use.max(used);
+    pub(super) fn record_use(&mut self) {
+        let in_use = self.in_use.len() as u32;
+        self.peak_in_use = self.peak_in_use.max(in_use);
     }
 
     /// One pass of housekeeping: gives an idle connection to close, at most one.
     pub(super) fn reap(&mut self, parameters: &ConnectionParameters) -> Option<ConnectionId> {
-        self.passes += 1;
-        if self.passes < parameters.idle_passes {
+        self.housekeeping_passes += 1;
+        if self.housekeeping_passes < parameters.idle_passes {
             return None;
         }
-        let wanted = self.greatest_use.max(parameters.warm);
-        if self.open() > wanted && !self.idle.is_empty() {
+        let kept = self.peak_in_use.max(parameters.warm);
+        if self.open() > kept && !self.idle.is_empty() {
             // The one at the front was used least lately.
             return Some(self.idle.remove(0));
         }
-        self.passes = 0;
-        self.greatest_use = self.engaged.len() as u32;
+        self.housekeeping_passes = 0;
+        self.peak_in_use = self.in_use.len() as u32;
         None
     }
 }
@@ -187,7 +187,7 @@
 
     /// It did not; gives the time of the next try. Half of the pause is drawn at random, so that
     /// the nodes do not come back together.
-    pub(super) fn failed(
+    pub(super) fn record_failure(
         &mut self,
         parameters: &ConnectionParameters,
         now: Timestamp,
@@ -195,9 +195,9 @@
     ) -> Timestamp {
         let doublings = self.failures.min(16);
         self.failures += 1;
-        let full = parameters.first_backoff * 2u32.pow(doublings);
-        let full = full.min(parameters.longest_backoff);
-        let pause = full.mul_f64(random.random_range(0.5..1.0));
+        let full_pause = parameters.first_backoff * 2u32.pow(doublings);
+        let full_pause = full_pause.min(parameters.longest_backoff);
+        let pause = full_pause.mul_f64(random.random_range(0.5..1.0));
         self.retry_at = Some(now + pause);
         now + pause
     }
--- a/crates/thornbridge-core/src/routing/dispatching.rs
+++ b/crates/thornbridge-core/src/routing/dispatching.rs
@@ -1,6 +1,6 @@
 //! The life of an attempt: handed over, waiting, sent, cancelled, ended.
 
-use super::attempts::Pending;
+use super::attempts::PendingAttempt;
 use super::back_end::BackEndIndex;
 use super::connections::ConnectionState;
 use super::{AttemptOwner, FinishedAttempt, Router};
@@ -35,42 +35,46 @@
         state.in_flight += 1;
         let idle = state.pool.idle.pop();
         let id = attempt.attempt;
-        self.attempts.insert(Pending {
+        self.attempts.insert(PendingAttempt {
             owner,
             deadline: context.now + attempt.time_left,
             attempt,
             back_end: index,
-            handed_over: context.now,
+            dispatched_at: context.now,
             sent: None,
             cancelled: false,
             moved: false,
         });
         match idle {
             Some(connection) => {
-                self.engage(index, connection);
+                self.mark_in_use(index, connection);
                 self.send(context, connection, id);
             }
-            None => self.wait(context, index, id),
+            None => self.wait_for_connection(context, index, id),
         }
     }
 
     /// Gives up an attempt; its end is not reported to the owner any more. One that was sent
     /// keeps its connection, and counts as in flight, until its reply comes.
     pub fn cancel(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
-        let Some(pending) = self.attempts.get_mut(attempt).filter(|it| !it.cancelled) else {
+        let Some(pending) = self
+            .attempts
+            .get_mut(attempt)
+            .filter(|pending| !pending.cancelled)
+        else {
             return;
         };
         self.counters.attempts_cancelled += 1;
         let index = pending.back_end;
         let Some((connection, sent)) = pending.sent else {
-            self.withdraw(index, attempt);
+            self.remove_waiting(index, attempt);
             return;
         };
         pending.cancelled = true;
         let request = pending.attempt.request;
-        let until = context.now + self.parameters.connections.cancel_grace;
-        self.attempts.cancelled(attempt, until);
-        self.observe_slower_than(context.now, index, context.now.since(sent));
+        let grace_end = context.now + self.parameters.connections.cancel_grace;
+        self.attempts.record_cancellation(attempt, grace_end);
+        self.observe_latency_lower_bound(context.now, index, context.now.since(sent));
         if let Some(state) = self.back_ends.get(index) {
             context.act(Action::CancelAttempt {
                 connection,
@@ -90,23 +94,26 @@
         load: Option<LoadReport>,
     ) -> Option<FinishedAttempt> {
         // A reply to an attempt that waits to be sent (again) cannot be its reply.
-        let sent = self.attempts.get(attempt).filter(|it| it.sent.is_some());
+        let sent = self
+            .attempts
+            .get(attempt)
+            .filter(|pending| pending.sent.is_some());
         let Some(pending) = sent else {
             self.counters.replies_foreign += 1;
             return None;
         };
-        if !echoes(&reply, &pending.attempt) {
+        if !matches_attempt(&reply, &pending.attempt) {
             self.counters.replies_foreign += 1;
             return self.failed(context, attempt, AttemptFailure::MalformedReply);
         }
-        let pending = self.end(attempt)?;
+        let pending = self.remove_attempt(attempt)?;
         self.observe_reply(context, &pending, &reply, load.as_ref());
         if let Some((connection, _)) = pending.sent {
             self.release(context, connection);
         }
         let index = pending.back_end;
-        let finished = self.report(context, pending, Ok(reply));
-        self.back_ends.forget_if_drained(index);
+        let finished = self.finish(context, pending, Ok(reply));
+        self.back_ends.remove_if_drained(index);
         finished
     }
 
@@ -119,19 +126,19 @@
     ) -> Option<FinishedAttempt> {
         let (connection, _) = self.attempts.get(attempt)?.sent?;
         self.close(context, connection);
-        if failure == AttemptFailure::NotSent && self.move_over(context, attempt) {
+        if failure == AttemptFailure::NotSent && self.move_to_other_connection(context, attempt) {
             return None;
         }
-        let pending = self.end(attempt)?;
+        let pending = self.remove_attempt(attempt)?;
         let index = pending.back_end;
         self.counters.attempts_failed += 1;
         if failure != AttemptFailure::NotSent {
             self.observe_failure(context, index);
         }
-        self.open_where_needed(context, index);
-        self.fail_hopeless(context, index);
-        let finished = self.report(context, pending, Err(failure));
-        self.back_ends.forget_if_drained(index);
+        self.open_for_waiting(context, index);
+        self.fail_waiting_if_unconnected(context, index);
+        let finished = self.finish(context, pending, Err(failure));
+        self.back_ends.remove_if_drained(index);
         finished
     }
 
@@ -165,11 +172,11 @@
         };
         self.counters.attempts_abandoned += 1;
         self.close(context, connection);
-        if let Some(pending) = self.end(attempt) {
+        if let Some(pending) = self.remove_attempt(attempt) {
             self.observe_failure(context, pending.back_end);
-            self.open_where_needed(context, pending.back_end);
-            self.fail_hopeless(context, pending.back_end);
-            self.back_ends.forget_if_drained(pending.back_end);
+            self.open_for_waiting(context, pending.back_end);
+            self.fail_waiting_if_unconnected(context, pending.back_end);
+            self.back_ends.remove_if_drained(pending.back_end);
         }
     }
 
@@ -196,27 +203,32 @@
         });
     }
 
-    fn wait(&mut self, context: &mut Context<'_>, index: BackEndIndex, attempt: AttemptId) {
+    fn wait_for_connection(
+        &mut self,
+        context: &mut Context<'_>,
+        index: BackEndIndex,
+        attempt: AttemptId,
+    ) {
         self.counters.attempts_waited += 1;
         self.attempts.begin_waiting(attempt);
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.waiting.push_back(attempt);
         }
-        self.open_where_needed(context, index);
-        self.fail_hopeless(context, index);
+        self.open_for_waiting(context, index);
+        self.fail_waiting_if_unconnected(context, index);
     }
 
     /// A waiting attempt is not wanted any more.
-    fn withdraw(&mut self, index: BackEndIndex, attempt: AttemptId) {
+    fn remove_waiting(&mut self, index: BackEndIndex, attempt: AttemptId) {
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.waiting.retain(|waiting| *waiting != attempt);
         }
-        self.end(attempt);
-        self.back_ends.forget_if_drained(index);
+        self.remove_attempt(attempt);
+        self.back_ends.remove_if_drained(index);
     }
 
     /// Lets an attempt whose connection broke before any byte left wait for another one, once.
-    fn move_over(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> bool {
+    fn move_to_other_connection(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> bool {
         let Some(pending) = self.attempts.get_mut(attempt) else {
             return false;
         };
@@ -224,8 +236,12 @@
         let Some(state) = self.back_ends.get_mut(index) else {
             return false;
         };
-        let another = state.takes_new_work() && state.pool.established() > 0;
-        if pending.cancelled || pending.moved || !another || pending.deadline <= context.now {
+        let has_other_connection = state.takes_new_work() && state.pool.established() > 0;
+        if pending.cancelled
+            || pending.moved
+            || !has_other_connection
+            || pending.deadline <= context.now
+        {
             return false;
         }
         pending.moved = true;
@@ -233,14 +249,14 @@
         self.counters.attempts_moved += 1;
         match state.pool.idle.pop() {
             Some(connection) => {
-                self.engage(index, connection);
+                self.mark_in_use(index, connection);
                 self.send(context, connection, attempt);
             }
             None => {
                 // It came before those that wait now.
                 state.pool.waiting.push_front(attempt);
                 self.attempts.begin_waiting(attempt);
-                self.open_where_needed(context, index);
+                self.open_for_waiting(context, index);
             }
         }
         true
@@ -248,8 +264,8 @@
 
     /// Ends an attempt that was never sent.
     fn fail_unsent(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
-        if let Some(pending) = self.end(attempt) {
-            let finished = self.report(context, pending, Err(AttemptFailure::NotSent));
+        if let Some(pending) = self.remove_attempt(attempt) {
+            let finished = self.finish(context, pending, Err(AttemptFailure::NotSent));
             self.finished.extend(finished);
         }
     }
@@ -265,7 +281,7 @@
         });
     }
 
-    fn end(&mut self, attempt: AttemptId) -> Option<Pending> {
+    fn remove_attempt(&mut self, attempt: AttemptId) -> Option<PendingAttempt> {
         let pending = self.attempts.remove(attempt)?;
         if let Some(state) = self.back_ends.get_mut(pending.back_end) {
             state.in_flight -= 1;
@@ -273,10 +289,10 @@
         Some(pending)
     }
 
-    fn report(
+    fn finish(
         &self,
         context: &Context<'_>,
-        pending: Pending,
+        pending: PendingAttempt,
         result: Result<BackEndReply, AttemptFailure>,
     ) -> Option<FinishedAttempt> {
         if pending.cancelled {
@@ -285,7 +301,7 @@
         let state = self.back_ends.get(pending.back_end)?;
         Some(FinishedAttempt {
             owner: pending.owner,
-            latency: context.now.since(pending.handed_over),
+            latency: context.now.since(pending.dispatched_at),
             attempt: pending.attempt,
             back_end: state.id.clone(),
             result,
@@ -294,7 +310,7 @@
 }
 
 /// Whether a reply belongs to the attempt that its connection was running.
-fn echoes(reply: &BackEndReply, attempt: &Attempt) -> bool {
+fn matches_attempt(reply: &BackEndReply, attempt: &Attempt) -> bool {
     reply.attempt == attempt.attempt
         && reply.request == attempt.request
         && reply.shard == attempt.shard
--- a/crates/thornbridge-core/src/routing/health.rs
+++ b/crates/thornbridge-core/src/routing/health.rs
@@ -35,11 +35,11 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HealthView {
     readiness: Readiness,
-    left_at: Option<Timestamp>,
+    leaving_seen_at: Option<Timestamp>,
     /// Version of the last record known when it was seen leaving.
-    left_version: u64,
+    leaving_version: u64,
     /// A newer record calls it ready, but not long enough after it was seen leaving.
-    ready_claimed: Option<Readiness>,
+    deferred_readiness: Option<Readiness>,
     unreachable: bool,
     reported_unreachable: bool,
     failed_probes: u32,
@@ -75,7 +75,7 @@
     }
 
     /// It answered an attempt. True where this is news.
-    pub(super) fn replied(&mut self, now: Timestamp) -> bool {
+    pub(super) fn record_reply(&mut self, now: Timestamp) -> bool {
         self.last_reply = Some(now);
         self.failed_probes = 0;
         self.reported_unreachable = false;
@@ -83,54 +83,54 @@
     }
 
     /// It said how it is. True where this is news.
-    pub(super) fn said(
+    pub(super) fn record_readiness(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
         readiness: Readiness,
     ) -> bool {
         if readiness == Readiness::Leaving {
-            self.left_at = Some(now);
-            self.left_version = self.version;
-            self.ready_claimed = None;
-        } else if self.left_lately(parameters, now) {
+            self.leaving_seen_at = Some(now);
+            self.leaving_version = self.version;
+            self.deferred_readiness = None;
+        } else if self.recently_leaving(parameters, now) {
             return false;
         } else {
-            self.left_at = None;
+            self.leaving_seen_at = None;
         }
-        let news = self.readiness != readiness;
+        let changed = self.readiness != readiness;
         self.readiness = readiness;
-        news
+        changed
     }
 
     /// It reported its load. True where this is news.
-    pub(super) fn reported(
+    pub(super) fn record_load_report(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
         report: &LoadReport,
     ) -> bool {
-        let mut news = self.said(parameters, now, report.readiness);
+        let mut changed = self.record_readiness(parameters, now, report.readiness);
         if report.snapshots.is_some() && report.snapshots != self.snapshots {
             self.snapshots = report.snapshots.clone();
-            news = true;
+            changed = true;
         }
-        news
+        changed
     }
 
     /// No connection to it could be opened, and none is open. True where this is news.
-    pub(super) fn connect_failed(&mut self) -> bool {
+    pub(super) fn record_connect_failure(&mut self) -> bool {
         !std::mem::replace(&mut self.unreachable, true)
     }
 
     /// A connection was opened. True where this is news.
-    pub(super) fn connected(&mut self) -> bool {
+    pub(super) fn record_connected(&mut self) -> bool {
         self.failed_probes = 0;
         std::mem::take(&mut self.unreachable)
     }
 
     /// A probe was answered. True where this is news.
-    pub(super) fn probe_answered(
+    pub(super) fn record_probe_reply(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
@@ -138,26 +138,26 @@
     ) -> bool {
         self.failed_probes = 0;
         self.reported_unreachable = false;
-        let reachable_again = std::mem::take(&mut self.unreachable);
-        self.reported(parameters, now, report) || reachable_again
+        let became_reachable = std::mem::take(&mut self.unreachable);
+        self.record_load_report(parameters, now, report) || became_reachable
     }
 
     /// A probe was not answered. True where this is news.
-    pub(super) fn probe_failed(
+    pub(super) fn record_probe_failure(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
     ) -> bool {
         self.failed_probes += 1;
         let enough = self.failed_probes >= parameters.failed_probes;
-        if !enough || self.replied_lately(parameters, now) {
+        if !enough || self.recently_replied(parameters, now) {
             return false;
         }
         !std::mem::replace(&mut self.unreachable, true)
     }
 
     /// A record came through health sharing. Older ones than those known say nothing.
-    pub(super) fn learnt(
+    pub(super) fn apply_record(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
@@ -166,33 +166,33 @@
         if record.version < self.version {
             return;
         }
-        let newer = record.version > self.left_version;
+        let newer = record.version > self.leaving_version;
         self.version = record.version;
-        self.said(parameters, now, record.readiness);
+        self.record_readiness(parameters, now, record.readiness);
         if newer && record.readiness != Readiness::Leaving && self.is_leaving() {
             // Records come once: this one is kept until it may be believed.
-            self.ready_claimed = Some(record.readiness);
+            self.deferred_readiness = Some(record.readiness);
         }
         if record.snapshots.is_some() {
             self.snapshots.clone_from(&record.snapshots);
         }
-        self.reported_unreachable = !record.reachable && !self.replied_lately(parameters, now);
+        self.reported_unreachable = !record.reachable && !self.recently_replied(parameters, now);
     }
 
     /// Believes a record that came too soon after the back end was seen leaving, once that is
     /// long enough ago. True where it is no longer leaving.
-    pub(super) fn settle_claim(
+    pub(super) fn apply_deferred_readiness(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
     ) -> bool {
-        if self.ready_claimed.is_none() || self.left_lately(parameters, now) {
+        if self.deferred_readiness.is_none() || self.recently_leaving(parameters, now) {
             return false;
         }
-        let Some(readiness) = self.ready_claimed.take() else {
+        let Some(readiness) = self.deferred_readiness.take() else {
             return false;
         };
-        self.left_at = None;
+        self.leaving_seen_at = None;
         self.readiness = readiness;
         true
     }
@@ -203,12 +203,12 @@
         self.version
     }
 
-    fn left_lately(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
-        self.left_at
-            .is_some_and(|left_at| now.since(left_at) < parameters.leaving_memory)
+    fn recently_leaving(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
+        self.leaving_seen_at
+            .is_some_and(|leaving_seen_at| now.since(leaving_seen_at) < parameters.leaving_memory)
     }
 
-    fn replied_lately(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
+    fn recently_replied(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
         self.last_reply
             .is_some_and(|reply| now.since(reply) < parameters.own_evidence)
     }
--- a/crates/thornbridge-core/src/routing/latency.rs
+++ b/crates/thornbridge-core/src/routing/latency.rs
@@ -44,76 +44,76 @@
 /// Latency of one back end, or of all of a service.
 #[derive(Clone, Debug)]
 pub(super) struct LatencyEstimate {
-    logarithm: f32,
+    mean_log2_us: f32,
     samples: u32,
     updated: Timestamp,
-    counts: [u8; BUCKETS],
-    total: u16,
+    bucket_counts: [u8; BUCKETS],
+    counted_samples: u16,
 }
 
 impl Default for LatencyEstimate {
     fn default() -> Self {
         Self {
-            logarithm: 0.0,
+            mean_log2_us: 0.0,
             samples: 0,
             updated: Timestamp::ZERO,
-            counts: [0; BUCKETS],
-            total: 0,
+            bucket_counts: [0; BUCKETS],
+            counted_samples: 0,
         }
     }
 }
 
 impl LatencyEstimate {
-    /// Takes a measured latency. `usual` is the logarithm that old knowledge fades towards.
+    /// Takes a measured latency. `baseline` is the logarithm that old knowledge fades towards.
     pub(super) fn record(
         &mut self,
         parameters: &LatencyParameters,
         now: Timestamp,
         latency: Duration,
-        usual: Option<f32>,
+        baseline: Option<f32>,
     ) {
-        let value = logarithm_of(latency);
-        self.update_mean(parameters, now, value, usual);
-        self.count(value);
+        let value = log2_us(latency);
+        self.update_mean(parameters, now, value, baseline);
+        self.record_bucket(value);
     }
 
     /// Takes a lower bound, as from an attempt that was given up: it only makes things worse.
-    pub(super) fn record_at_least(
+    pub(super) fn record_lower_bound(
         &mut self,
         parameters: &LatencyParameters,
         now: Timestamp,
         elapsed: Duration,
-        usual: Option<f32>,
+        baseline: Option<f32>,
     ) {
-        let value = logarithm_of(elapsed);
+        let value = log2_us(elapsed);
         if self
-            .logarithm(parameters, now, usual)
+            .decayed_log2_us(parameters, now, baseline)
             .is_some_and(|known| value > known)
         {
-            self.update_mean(parameters, now, value, usual);
+            self.update_mean(parameters, now, value, baseline);
         }
     }
 
     /// Logarithm (base 2) of the mean in microseconds as it is believed now.
-    pub(super) fn logarithm(
+    pub(super) fn decayed_log2_us(
         &self,
         parameters: &LatencyParameters,
         now: Timestamp,
-        usual: Option<f32>,
+        baseline: Option<f32>,
     ) -> Option<f32> {
         if self.samples == 0 {
-            return usual;
+            return baseline;
         }
-        let Some(usual) = usual else {
-            return Some(self.logarithm);
+        let Some(baseline) = baseline else {
+            return Some(self.mean_log2_us);
         };
-        let belief = self.belief(parameters, now);
-        Some(usual + (self.logarithm - usual) * belief)
+        let freshness = self.freshness(parameters, now);
+        Some(baseline + (self.mean_log2_us - baseline) * freshness)
     }
 
     /// Mean without regard to age.
-    pub(super) fn plain_logarithm(&self) -> Option<f32> {
-        (self.samples > 0).then_some(self.logarithm)
+    pub(super) fn mean_log2_us(&self) -> Option<f32> {
+        (self.samples > 0).then_some(self.mean_log2_us)
     }
 
     /// Samples taken.
@@ -122,22 +122,28 @@
     }
 
     /// The latency that this share of recent attempts stayed under.
-    pub(super) fn quantile(&self, parameters: &LatencyParameters, share: f64) -> Option<Duration> {
-        if u32::from(self.total) < parameters.quantile_samples {
+    pub(super) fn quantile(
+        &self,
+        parameters: &LatencyParameters,
+        quantile: f64,
+    ) -> Option<Duration> {
+        if u32::from(self.counted_samples) < parameters.quantile_samples {
             return None;
         }
-        let wanted = f64::from(self.total) * share.clamp(0.0, 1.0);
-        let mut seen = 0.0;
-        for (bucket, count) in self.counts.iter().enumerate() {
-            seen += f64::from(*count);
-            if seen >= wanted && *count > 0 {
-                return Some(duration_of((bucket as f32 + 1.0) / BUCKETS_PER_DOUBLING));
+        let target_rank = f64::from(self.counted_samples) * quantile.clamp(0.0, 1.0);
+        let mut rank = 0.0;
+        for (bucket, count) in self.bucket_counts.iter().enumerate() {
+            rank += f64::from(*count);
+            if rank >= target_rank && *count > 0 {
+                return Some(duration_from_log2_us(
+                    (bucket as f32 + 1.0) / BUCKETS_PER_DOUBLING,
+                ));
             }
         }
         None
     }
 
-    fn belief(&self, parameters: &LatencyParameters, now: Timestamp) -> f32 {
+    fn freshness(&self, parameters: &LatencyParameters, now: Timestamp) -> f32 {
         let forgetting = parameters.forgetting.as_secs_f32().max(1e-3);
         1.0 / (1.0 + now.since(self.updated).as_secs_f32() / forgetting)
     }
@@ -147,46 +153,52 @@
         parameters: &LatencyParameters,
         now: Timestamp,
         value: f32,
-        usual: Option<f32>,
+        baseline: Option<f32>,
     ) {
-        let old = self.logarithm(parameters, now, usual).unwrap_or(value);
+        let old = self
+            .decayed_log2_us(parameters, now, baseline)
+            .unwrap_or(value);
         let first = 1.0 / (self.samples as f32 + 1.0);
-        let forgotten = 1.0 - self.belief(parameters, now);
-        let weight = parameters.weight.max(first).max(forgotten.min(0.5));
-        self.logarithm = old + (value - old) * weight;
+        let staleness = 1.0 - self.freshness(parameters, now);
+        let weight = parameters.weight.max(first).max(staleness.min(0.5));
+        self.mean_log2_us = old + (value - old) * weight;
         self.samples = self.samples.saturating_add(1);
         self.updated = now;
     }
 
-    fn count(&mut self, logarithm: f32) {
-        let bucket = (logarithm * BUCKETS_PER_DOUBLING) as usize;
-        let slot = &mut self.counts[bucket.min(BUCKETS - 1)];
+    fn record_bucket(&mut self, log2_us: f32) {
+        let bucket = (log2_us * BUCKETS_PER_DOUBLING) as usize;
+        let slot = &mut self.bucket_counts[bucket.min(BUCKETS - 1)];
         *slot = slot.saturating_add(1);
-        self.total += 1;
-        if self.total >= SAMPLES_UNTIL_HALVED {
-            self.counts.iter_mut().for_each(|count| *count /= 2);
-            self.total = self.counts.iter().map(|count| u16::from(*count)).sum();
+        self.counted_samples += 1;
+        if self.counted_samples >= SAMPLES_UNTIL_HALVED {
+            self.bucket_counts.iter_mut().for_each(|count| *count /= 2);
+            self.counted_samples = self
+                .bucket_counts
+                .iter()
+                .map(|count| u16::from(*count))
+                .sum();
         }
     }
 }
 
 /// Logarithm to base 2 of a latency in microseconds, linear between powers of two.
-pub(super) fn logarithm_of(latency: Duration) -> f32 {
-    logarithm_of_ratio(latency.as_secs_f32() * MICROS_PER_SECOND)
+pub(super) fn log2_us(latency: Duration) -> f32 {
+    approximate_log2(latency.as_secs_f32() * MICROS_PER_SECOND)
 }
 
 /// Logarithm to base 2 of a ratio of at least 1, linear between powers of two.
-pub(super) fn logarithm_of_ratio(ratio: f32) -> f32 {
+pub(super) fn approximate_log2(ratio: f32) -> f32 {
     ratio.max(1.0).to_bits() as f32 / (1u32 << MANTISSA_BITS) as f32 - EXPONENT_BIAS
 }
 
-/// Microseconds of a logarithm: the inverse of [`logarithm_of`].
-pub(super) fn micros_of(logarithm: f32) -> f32 {
-    let bits = (logarithm.clamp(0.0, 40.0) + EXPONENT_BIAS) * (1u32 << MANTISSA_BITS) as f32;
+/// Microseconds of a logarithm: the inverse of [`log2_us`].
+pub(super) fn micros_from_log2_us(log2_us: f32) -> f32 {
+    let bits = (log2_us.clamp(0.0, 40.0) + EXPONENT_BIAS) * (1u32 << MANTISSA_BITS) as f32;
     f32::from_bits(bits as u32)
 }
 
 /// The latency of a logarithm.
-pub(super) fn duration_of(logarithm: f32) -> Duration {
-    Duration::from_nanos((micros_of(logarithm) * 1_000.0) as u64)
+pub(super) fn duration_from_log2_us(log2_us: f32) -> Duration {
+    Duration::from_nanos((micros_from_log2_us(log2_us) * 1_000.0) as u64)
 }
--- a/crates/thornbridge-core/src/routing/load.rs
+++ b/crates/thornbridge-core/src/routing/load.rs
@@ -32,34 +32,34 @@
 /// The last report of a back end, less this node's own share in it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedLoad {
-    others: f32,
+    others_load: f32,
     received: Timestamp,
 }
 
 impl ReportedLoad {
     /// Takes a report that came while `own` of this node's attempts were at the back end.
     pub(super) fn record(&mut self, now: Timestamp, report: &LoadReport, own: u32) {
-        let total = report.running.saturating_add(report.queued);
-        self.others = total.saturating_sub(own) as f32;
+        let total_load = report.running.saturating_add(report.queued);
+        self.others_load = total_load.saturating_sub(own) as f32;
         self.received = now;
     }
 
     /// Work of other nodes that is believed to be there now, at a back end with so many slots
     /// and this latency.
-    pub(super) fn others(
+    pub(super) fn others_load(
         &self,
         parameters: &LoadParameters,
         now: Timestamp,
         slots: f32,
         latency: Duration,
     ) -> f32 {
-        if self.others == 0.0 {
+        if self.others_load == 0.0 {
             return 0.0;
         }
         let least = parameters.least_half_age.as_secs_f32();
         let half_age = (latency.as_secs_f32() * parameters.half_age_share).max(least);
         let age = now.since(self.received).as_secs_f32();
-        let belief = half_age / (half_age + age);
-        self.others.min(slots * parameters.greatest_claim) * belief
+        let freshness = half_age / (half_age + age);
+        self.others_load.min(slots * parameters.greatest_claim) * freshness
     }
 }
--- a/crates/thornbridge-core/src/routing/mod.rs
+++ b/crates/thornbridge-core/src/routing/mod.rs
@@ -44,7 +44,7 @@
 use back_end::{BackEndIndex, BackEndTable};
 use balancer::Candidate;
 use connections::Connections;
-use reconfiguring::{Membership, SubsetWork};
+use reconfiguring::{Membership, SubsetState};
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -97,7 +97,7 @@
     warm_up: VecDeque<BackEndIndex>,
     warm_up_due: Option<Timestamp>,
     housekeeping_due: Option<Timestamp>,
-    subset_work: SubsetWork,
+    subset_state: SubsetState,
     candidates: Vec<Candidate>,
     counters: RoutingCounters,
 }
@@ -117,7 +117,7 @@
             warm_up: VecDeque::new(),
             warm_up_due: None,
             housekeeping_due: None,
-            subset_work: SubsetWork::default(),
+            subset_state: SubsetState::default(),
             candidates: Vec::new(),
             counters: RoutingCounters::default(),
         }
--- a/crates/thornbridge-core/src/routing/observing.rs
+++ b/crates/thornbridge-core/src/routing/observing.rs
@@ -1,7 +1,7 @@
 //! What is learnt of back ends: from replies, failures, connections, probes and peers.
 
 use super::Router;
-use super::attempts::Pending;
+use super::attempts::PendingAttempt;
 use super::back_end::{BackEndIndex, BackEndState, ServiceIndex};
 use crate::context::Context;
 use crate::driver_action::{Action, StateChange};
@@ -29,14 +29,18 @@
         };
         let was_leaving = state.health.is_leaving();
         let was_unreachable = state.health.is_unreachable();
-        let news = state.health.probe_answered(parameters, context.now, report);
+        let changed = state
+            .health
+            .record_probe_reply(parameters, context.now, report);
         state.load.record(context.now, report, state.in_flight);
-        state.slow_start.readiness(context.now, report.readiness);
+        state
+            .slow_start
+            .record_readiness(context.now, report.readiness);
         if was_unreachable {
             state.pool.backoff.reset();
-            self.open_warm(context, index);
+            self.open_warm_connections(context, index);
         }
-        self.after_health(context, index, was_leaving, news);
+        self.apply_health_change(context, index, was_leaving, changed);
     }
 
     /// A probe was not answered.
@@ -45,13 +49,13 @@
             return;
         };
         let parameters = &self.parameters.health;
-        let news = self
+        let changed = self
             .back_ends
             .get_mut(index)
-            .is_some_and(|state| state.health.probe_failed(parameters, context.now));
-        if news {
-            self.changed(context, index, "unreachable");
-            self.tell_peers(context, index);
+            .is_some_and(|state| state.health.record_probe_failure(parameters, context.now));
+        if changed {
+            self.report_state_change(context, index, "unreachable");
+            self.notify_peers(context, index);
         }
     }
 
@@ -65,21 +69,21 @@
             return;
         };
         let was_leaving = state.health.is_leaving();
-        state.health.learnt(parameters, context.now, record);
+        state.health.apply_record(parameters, context.now, record);
         let readiness = state.health.readiness();
-        state.slow_start.readiness(context.now, readiness);
+        state.slow_start.record_readiness(context.now, readiness);
         if record.reachable && state.health.is_unreachable() {
             state.pool.backoff.reset();
-            self.open_warm(context, index);
+            self.open_warm_connections(context, index);
         }
-        self.after_health(context, index, was_leaving, false);
+        self.apply_health_change(context, index, was_leaving, false);
     }
 
     /// A reply belongs to its attempt: takes what it says of its back end.
     pub(super) fn observe_reply(
         &mut self,
         context: &mut Context<'_>,
-        pending: &Pending,
+        pending: &PendingAttempt,
         reply: &BackEndReply,
         load: Option<&LoadReport>,
     ) {
@@ -89,11 +93,13 @@
             return;
         };
         let was_leaving = state.health.is_leaving();
-        let mut news = state.health.replied(now);
+        let mut changed = state.health.record_reply(now);
         if let Some(report) = load {
             state.load.record(now, report, state.in_flight);
-            state.slow_start.readiness(now, report.readiness);
-            news |= state.health.reported(&self.parameters.health, now, report);
+            state.slow_start.record_readiness(now, report.readiness);
+            changed |= state
+                .health
+                .record_load_report(&self.parameters.health, now, report);
         }
         match &reply.outcome {
             ReplyOutcome::Hits { .. } | ReplyOutcome::Done { .. } => {
@@ -105,20 +111,22 @@
                 let in_flight = state.in_flight + 1;
                 state
                     .limit
-                    .shed(&self.parameters.limit, now, in_flight, pause);
+                    .record_shed(&self.parameters.limit, now, in_flight, pause);
             }
             ReplyOutcome::Leaving => {
                 let leaving = thornbridge_proto::back_end::Readiness::Leaving;
-                news |= state.health.said(&self.parameters.health, now, leaving);
+                changed |= state
+                    .health
+                    .record_readiness(&self.parameters.health, now, leaving);
             }
             ReplyOutcome::Failed { .. } => self.observe_failure(context, index),
             ReplyOutcome::NotHeld | ReplyOutcome::Expired | ReplyOutcome::Cancelled => {}
         }
-        self.after_health(context, index, was_leaving, news);
+        self.apply_health_change(context, index, was_leaving, changed);
     }
 
     /// An attempt took at least this long.
-    pub(super) fn observe_slower_than(
+    pub(super) fn observe_latency_lower_bound(
         &mut self,
         now: Timestamp,
         index: BackEndIndex,
@@ -128,22 +136,22 @@
         let Some(service) = self.back_ends.get(index).map(|state| state.service) else {
             return;
         };
-        let usual = self.back_ends.usual_latency(service);
+        let baseline = self.back_ends.baseline_log2_us(service);
         if let Some(state) = self.back_ends.get_mut(index) {
             state
                 .latency
-                .record_at_least(parameters, now, elapsed, usual);
+                .record_lower_bound(parameters, now, elapsed, baseline);
         }
     }
 
     /// An attempt failed at the back end or on the way.
     pub(super) fn observe_failure(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let parameters = &self.parameters.outlier;
-        let suspect = self
+        let is_outlier = self
             .back_ends
             .get_mut(index)
-            .is_some_and(|state| state.outlier.failed(parameters, context.now));
-        if suspect {
+            .is_some_and(|state| state.outlier.record_failure(parameters, context.now));
+        if is_outlier {
             self.try_eject(context, index);
         }
     }
@@ -153,30 +161,30 @@
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
         };
-        if state.health.connected() {
+        if state.health.record_connected() {
             state.slow_start.begin(context.now);
-            self.changed(context, index, "reachable");
-            self.tell_peers(context, index);
+            self.report_state_change(context, index, "reachable");
+            self.notify_peers(context, index);
         }
     }
 
     /// No connection can be opened, and none is open.
     pub(super) fn observe_unreachable(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
-        let news = self
+        let changed = self
             .back_ends
             .get_mut(index)
-            .is_some_and(|state| state.health.connect_failed());
-        if news {
-            self.changed(context, index, "unreachable");
-            self.tell_peers(context, index);
+            .is_some_and(|state| state.health.record_connect_failure());
+        if changed {
+            self.report_state_change(context, index, "unreachable");
+            self.notify_peers(context, index);
         }
     }
 
     /// One pass over all back ends: returns from ejection, ejections by latency, idle connections.
-    pub(super) fn keep_house(&mut self, context: &mut Context<'_>) {
+    pub(super) fn run_housekeeping(&mut self, context: &mut Context<'_>) {
         for index in self.back_ends.indices() {
-            self.settle_claim(context, index);
-            self.return_ejected(context, index);
+            self.apply_deferred_readiness(context, index);
+            self.end_ejection(context, index);
             self.reap_idle(context, index);
         }
         for service in 0..self.back_ends.services.len() as u32 {
@@ -184,7 +192,7 @@
         }
     }
 
-    fn observe_success(&mut self, now: Timestamp, pending: &Pending) {
+    fn observe_success(&mut self, now: Timestamp, pending: &PendingAttempt) {
         let parameters = &self.parameters.latency;
         let Some((_, sent)) = pending.sent else {
             return;
@@ -197,11 +205,11 @@
         else {
             return;
         };
-        let usual = self.back_ends.usual_latency(service);
+        let baseline = self.back_ends.baseline_log2_us(service);
         if let Some(state) = self.back_ends.get_mut(pending.back_end) {
-            state.latency.record(parameters, now, latency, usual);
-            state.outlier.succeeded(&self.parameters.outlier);
-            state.limit.succeeded(&self.parameters.limit);
+            state.latency.record(parameters, now, latency, baseline);
+            state.outlier.record_success(&self.parameters.outlier);
+            state.limit.record_success(&self.parameters.limit);
         }
         if let Some(service) = self.back_ends.services.get_mut(service.0 as usize) {
             service.latency.record(parameters, now, latency, None);
@@ -210,12 +218,12 @@
 
     /// Acts on what changed in a back end's health. One that is leaving gets nothing more: what
     /// waits for it ends unsent, and its idle connections are closed.
-    fn after_health(
+    fn apply_health_change(
         &mut self,
         context: &mut Context<'_>,
         index: BackEndIndex,
         was_leaving: bool,
-        news: bool,
+        changed: bool,
     ) {
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
@@ -223,16 +231,16 @@
         let is_leaving = state.health.is_leaving();
         if is_leaving && !was_leaving {
             self.counters.leaving_seen += 1;
-            self.changed(context, index, "leaving");
+            self.report_state_change(context, index, "leaving");
             self.fail_waiting(context, index);
             self.close_surplus(context, index);
         } else if was_leaving && !is_leaving {
             state.slow_start.begin(context.now);
-            self.changed(context, index, "ready");
-            self.open_warm(context, index);
+            self.report_state_change(context, index, "ready");
+            self.open_warm_connections(context, index);
         }
-        if news {
-            self.tell_peers(context, index);
+        if changed {
+            self.notify_peers(context, index);
         }
     }
 
@@ -250,7 +258,7 @@
         if let Some(state) = self.back_ends.get_mut(index) {
             state.outlier.eject(&self.parameters.outlier, context.now);
             self.counters.ejections += 1;
-            self.changed(context, index, "ejected");
+            self.report_state_change(context, index, "ejected");
         }
     }
 
@@ -265,48 +273,49 @@
             .filter_map(|other| self.back_ends.get(*other))
             .filter(|other| other.outlier.is_ejected())
             .count();
-        let share = service.back_ends.len() as f32 * self.parameters.outlier.greatest_share;
-        let another_sound = |group: &u32| {
+        let max_ejected = service.back_ends.len() as f32 * self.parameters.outlier.greatest_share;
+        let has_other_healthy = |group: &u32| {
             self.back_ends.groups[*group as usize]
                 .iter()
                 .filter(|replica| **replica != index)
                 .filter_map(|replica| self.back_ends.get(*replica))
-                .any(BackEndState::is_sound)
+                .any(BackEndState::is_healthy)
         };
-        ejected < (share as usize).max(1) && state.groups.iter().all(another_sound)
+        ejected < (max_ejected as usize).max(1) && state.groups.iter().all(has_other_healthy)
     }
 
-    fn settle_claim(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    fn apply_deferred_readiness(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let parameters = &self.parameters.health;
-        let settled = self
-            .back_ends
-            .get_mut(index)
-            .is_some_and(|state| state.health.settle_claim(parameters, context.now));
-        if settled {
-            self.after_health(context, index, true, false);
+        let applied = self.back_ends.get_mut(index).is_some_and(|state| {
+            state
+                .health
+                .apply_deferred_readiness(parameters, context.now)
+        });
+        if applied {
+            self.apply_health_change(context, index, true, false);
         }
     }
 
-    fn return_ejected(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    fn end_ejection(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let parameters = &self.parameters.outlier;
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
         };
-        state.outlier.forgive(context.now);
-        if state.outlier.try_return(parameters, context.now) {
+        state.outlier.end_probation(context.now);
+        if state.outlier.end_expired_ejection(parameters, context.now) {
             state.slow_start.begin(context.now);
             state.latency = super::latency::LatencyEstimate::default();
-            self.changed(context, index, "returned");
+            self.report_state_change(context, index, "returned");
         }
     }
 
     fn reap_idle(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let parameters = &self.parameters.connections;
-        let reaped = self
+        let connection = self
             .back_ends
             .get_mut(index)
             .and_then(|state| state.pool.reap(parameters));
-        if let Some(connection) = reaped {
+        if let Some(connection) = connection {
             self.close(context, connection);
         }
     }
@@ -316,30 +325,30 @@
         let Some(service) = self.back_ends.services.get(service.0 as usize) else {
             return;
         };
-        let least_samples = self.parameters.outlier.latency_samples;
+        let min_samples = self.parameters.outlier.latency_samples;
         let mut means: Vec<(f32, BackEndIndex)> = service
             .back_ends
             .iter()
             .filter_map(|index| Some((*index, self.back_ends.get(*index)?)))
-            .filter(|(_, state)| state.latency.samples() >= least_samples)
-            .filter_map(|(index, state)| Some((state.latency.plain_logarithm()?, index)))
+            .filter(|(_, state)| state.latency.samples() >= min_samples)
+            .filter_map(|(index, state)| Some((state.latency.mean_log2_us()?, index)))
             .collect();
         if means.len() < 2 {
             return;
         }
         means.sort_by(|left, right| left.0.total_cmp(&right.0));
-        let middle = means[(means.len() - 1) / 2].0;
+        let median = means[(means.len() - 1) / 2].0;
         let multiple = self.parameters.outlier.latency_multiple;
-        let bound = middle + super::latency::logarithm_of_ratio(multiple);
+        let threshold = median + super::latency::approximate_log2(multiple);
         for (mean, index) in means.into_iter().rev() {
-            if mean <= bound {
+            if mean <= threshold {
                 return;
             }
             self.try_eject(context, index);
         }
     }
 
-    fn changed(&self, context: &mut Context<'_>, index: BackEndIndex, state: &str) {
+    fn report_state_change(&self, context: &mut Context<'_>, index: BackEndIndex, state: &str) {
         if let Some(back_end) = self.back_ends.get(index) {
             context.act(Action::StateChanged(StateChange::BackEndChanged {
                 back_end: back_end.id.clone(),
@@ -348,7 +357,7 @@
         }
     }
 
-    fn tell_peers(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    fn notify_peers(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(observer) = self.membership.own_node() else {
             return;
         };
--- a/crates/thornbridge-core/src/routing/outlier.rs
+++ b/crates/thornbridge-core/src/routing/outlier.rs
@@ -54,7 +54,7 @@
 /// Signs of one back end, and whether it is ejected.
 #[derive(Clone, Debug)]
 pub(super) struct OutlierState {
-    consecutive: u32,
+    consecutive_failures: u32,
     success_share: f32,
     attempts: u32,
     ejected_until: Option<Timestamp>,
@@ -65,7 +65,7 @@
 impl Default for OutlierState {
     fn default() -> Self {
         Self {
-            consecutive: 0,
+            consecutive_failures: 0,
             success_share: 1.0,
             attempts: 0,
             ejected_until: None,
@@ -77,22 +77,26 @@
 
 impl OutlierState {
     /// An attempt ended well.
-    pub(super) fn succeeded(&mut self, parameters: &OutlierParameters) {
-        self.consecutive = 0;
+    pub(super) fn record_success(&mut self, parameters: &OutlierParameters) {
+        self.consecutive_failures = 0;
         self.attempts = self.attempts.saturating_add(1);
         self.success_share += (1.0 - self.success_share) * parameters.success_weight;
     }
 
     /// An attempt failed. True where that is a reason to eject.
-    pub(super) fn failed(&mut self, parameters: &OutlierParameters, now: Timestamp) -> bool {
-        self.consecutive += 1;
+    pub(super) fn record_failure(
+        &mut self,
+        parameters: &OutlierParameters,
+        now: Timestamp,
+    ) -> bool {
+        self.consecutive_failures += 1;
         self.attempts = self.attempts.saturating_add(1);
         self.success_share -= self.success_share * parameters.success_weight;
         let on_probation = self.probation_until.is_some_and(|until| now < until);
-        let too_many = self.consecutive >= parameters.consecutive_failures;
-        let too_often = self.attempts >= parameters.success_samples
+        let too_many_in_a_row = self.consecutive_failures >= parameters.consecutive_failures;
+        let success_share_too_low = self.attempts >= parameters.success_samples
             && self.success_share < parameters.least_success_share;
-        on_probation || too_many || too_often
+        on_probation || too_many_in_a_row || success_share_too_low
     }
 
     /// Ejected, or its time is not yet checked.
@@ -109,20 +113,24 @@
     }
 
     /// Lets it back where its time is over. True where it came back.
-    pub(super) fn try_return(&mut self, parameters: &OutlierParameters, now: Timestamp) -> bool {
-        let over = self.ejected_until.is_some_and(|until| now >= until);
-        if over {
+    pub(super) fn end_expired_ejection(
+        &mut self,
+        parameters: &OutlierParameters,
+        now: Timestamp,
+    ) -> bool {
+        let expired = self.ejected_until.is_some_and(|until| now >= until);
+        if expired {
             self.ejected_until = None;
-            self.consecutive = 0;
+            self.consecutive_failures = 0;
             self.attempts = 0;
             self.success_share = 1.0;
             self.probation_until = Some(now + parameters.probation);
         }
-        over
+        expired
     }
 
     /// A probation survived makes the next ejection a first one again.
-    pub(super) fn forgive(&mut self, now: Timestamp) {
+    pub(super) fn end_probation(&mut self, now: Timestamp) {
         if self.probation_until.is_some_and(|until| now >= until) {
             self.probation_until = None;
             self.ejections = 0;
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -26,17 +26,17 @@
 pub(super) struct Membership {
     own: Option<(NodeId, ZoneName)>,
     nodes: Vec<SubsetNode>,
-    members: BTreeMap<NodeId, Sharer>,
+    members: BTreeMap<NodeId, KnownMember>,
     /// Vanished without leaving: dead, or on the other side of a partition.
-    lost: BTreeMap<NodeId, Sharer>,
+    lost: BTreeMap<NodeId, KnownMember>,
     settled_at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sharer {
+struct KnownMember {
     address: SocketAddr,
     leaving: bool,
-    seen: Timestamp,
+    last_seen: Timestamp,
 }
 
 impl Membership {
@@ -55,24 +55,24 @@
             self.settled_at = now + parameters.settling;
         }
         self.own = Some((view.own().endpoint.node, view.own().zone.clone()));
-        let members: BTreeMap<NodeId, Sharer> = view
+        let members: BTreeMap<NodeId, KnownMember> = view
             .members()
             .iter()
             .map(|member| {
-                let sharer = Sharer {
+                let known = KnownMember {
                     address: member.endpoint.address,
                     leaving: member.state == MemberState::Leaving,
-                    seen: now,
+                    last_seen: now,
                 };
-                (member.endpoint.node, sharer)
+                (member.endpoint.node, known)
             })
             .collect();
         let old = std::mem::replace(&mut self.members, members);
-        let gone = old
+        let vanished = old
             .into_iter()
-            .filter(|(node, sharer)| !sharer.leaving && !self.members.contains_key(node));
-        self.lost.extend(gone);
-        self.forget_lost(parameters, now);
+            .filter(|(node, known)| !known.leaving && !self.members.contains_key(node));
+        self.lost.extend(vanished);
+        self.expire_lost(parameters, now);
         let nodes: Vec<SubsetNode> = view
             .accepting_work()
             .map(|member| SubsetNode::new(member.endpoint.node, member.zone.clone()))
@@ -87,31 +87,31 @@
     }
 
     /// A lost node is forgotten when it is back, when another run has its address, or in time.
-    fn forget_lost(&mut self, parameters: &RoutingParameters, now: Timestamp) {
+    fn expire_lost(&mut self, parameters: &RoutingParameters, now: Timestamp) {
         let members = &self.members;
         let addresses: std::collections::BTreeSet<SocketAddr> =
-            members.values().map(|sharer| sharer.address).collect();
-        self.lost.retain(|node, sharer| {
+            members.values().map(|known| known.address).collect();
+        self.lost.retain(|node, known| {
             !members.contains_key(node)
-                && !addresses.contains(&sharer.address)
-                && now.since(sharer.seen) < parameters.lost_node_memory
+                && !addresses.contains(&known.address)
+                && now.since(known.last_seen) < parameters.lost_node_memory
         });
     }
 
     /// Nodes that may hold connections now.
     fn expected_nodes(&self, now: Timestamp, maximum_nodes: u32) -> u32 {
-        let seen = self.members.len() as u32;
+        let visible = self.members.len() as u32;
         if now < self.settled_at || self.own.is_none() {
-            return seen.max(maximum_nodes);
+            return visible.max(maximum_nodes);
         }
-        let with_lost = seen + self.lost.len() as u32;
-        with_lost.min(seen.max(maximum_nodes))
+        let with_lost = visible + self.lost.len() as u32;
+        with_lost.min(visible.max(maximum_nodes))
     }
 }
 
 /// Computation of the subset: what for, and how far.
 #[derive(Debug, Default)]
-pub(super) struct SubsetWork {
+pub(super) struct SubsetState {
     pub(super) due: Option<Timestamp>,
     build: Option<SubsetBuild>,
     topology: Topology,
@@ -132,13 +132,13 @@
         self.remove_unconfigured(context, in_force);
         self.back_ends.set_services(&in_force.bundle);
         let (topology, indices) = self.back_ends.topology(&in_force.bundle);
-        let same = topology == self.subset_work.topology && indices == self.subset_work.indices;
-        self.subset_work.topology = topology;
-        self.subset_work.indices = indices;
+        let same = topology == self.subset_state.topology && indices == self.subset_state.indices;
+        self.subset_state.topology = topology;
+        self.subset_state.indices = indices;
         if first {
             self.compute_subset_now(context);
         } else if !same {
-            self.follow_topology(context);
+            self.apply_topology(context);
         }
         let due = context.now + self.parameters.housekeeping_interval;
         self.housekeeping_due.get_or_insert(due);
@@ -155,42 +155,42 @@
             self.compute_subset_now(context);
         } else if changed {
             let due = context.now + self.parameters.subset_delay;
-            self.subset_work.build = None;
-            self.subset_work.due.get_or_insert(due);
+            self.subset_state.build = None;
+            self.subset_state.due.get_or_insert(due);
         }
     }
 
     /// Does a part of the computation of the subset.
     pub(super) fn advance_subset(&mut self, context: &mut Context<'_>) {
-        let build = self.subset_work.build.take();
+        let build = self.subset_state.build.take();
         let mut build = build.unwrap_or_else(|| self.begin_subset(context.now));
         if build.advance(PAIRS_PER_STEP) {
             self.finish_subset(context, &build);
         } else {
-            self.subset_work.build = Some(build);
-            self.subset_work.due = Some(context.now + STEP_INTERVAL);
+            self.subset_state.build = Some(build);
+            self.subset_state.due = Some(context.now + STEP_INTERVAL);
         }
     }
 
     /// Back ends changed: those open to every node are used at once. The others are computed
     /// between queries, unless a shard is out of reach until then.
-    fn follow_topology(&mut self, context: &mut Context<'_>) {
+    fn apply_topology(&mut self, context: &mut Context<'_>) {
         let mut build = self.begin_subset(context.now);
-        let shares: Vec<Option<u32>> = build.open_shares().collect();
-        let indices = std::mem::take(&mut self.subset_work.indices);
+        let shares: Vec<Option<u32>> = build.unrestricted_shares().collect();
+        let indices = std::mem::take(&mut self.subset_state.indices);
         for (index, share) in indices.iter().zip(shares) {
             if let Some(share) = share {
                 self.set_share(context, *index, share);
             }
         }
-        self.subset_work.indices = indices;
-        self.count_reach();
+        self.subset_state.indices = indices;
+        self.count_reachable_replicas();
         if self.counters.shards_out_of_reach > 0 {
             while !build.advance(PAIRS_PER_STEP) {}
             self.finish_subset(context, &build);
         } else {
-            self.subset_work.build = Some(build);
-            self.subset_work.due = Some(context.now);
+            self.subset_state.build = Some(build);
+            self.subset_state.due = Some(context.now);
         }
     }
 
@@ -208,25 +208,25 @@
         self.counters.subsets_computed += 1;
         SubsetBuild::new(
             self.parameters.subset.clone(),
-            self.subset_work.topology.clone(),
+            self.subset_state.topology.clone(),
             self.membership.nodes.clone(),
             self.membership.expected_nodes(now, maximum),
         )
     }
 
     fn finish_subset(&mut self, context: &mut Context<'_>, build: &SubsetBuild) {
-        let settles = context.now < self.membership.settled_at;
-        self.subset_work.build = None;
-        self.subset_work.due = settles.then_some(self.membership.settled_at);
+        let settling = context.now < self.membership.settled_at;
+        self.subset_state.build = None;
+        self.subset_state.due = settling.then_some(self.membership.settled_at);
         // Without a member list, this node is nobody: it takes what is open to everyone.
         let node = self.membership.own_node().unwrap_or_default();
         let shares = build.shares(node);
-        let indices = std::mem::take(&mut self.subset_work.indices);
+        let indices = std::mem::take(&mut self.subset_state.indices);
         for (index, share) in indices.iter().zip(shares) {
             self.set_share(context, *index, share);
         }
-        self.subset_work.indices = indices;
-        self.count_reach();
+        self.subset_state.indices = indices;
+        self.count_reachable_replicas();
         if !self.warm_up.is_empty() {
             self.warm_up_due.get_or_insert(context.now);
         }
@@ -236,9 +236,9 @@
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
         };
-        state.share = share;
-        let wants_warmth = share > 0 && state.pool.open() == 0;
-        if wants_warmth {
+        state.connection_share = share;
+        let needs_warm_up = share > 0 && state.pool.open() == 0;
+        if needs_warm_up {
             self.warm_up.push_back(index);
         }
         if share == 0 {
@@ -247,13 +247,13 @@
         self.close_surplus(context, index);
     }
 
-    fn count_reach(&mut self) {
+    fn count_reachable_replicas(&mut self) {
         let table = &self.back_ends;
         let reach = table.groups.iter().map(|group| {
             let reached = group
                 .iter()
                 .filter_map(|index| table.get(*index))
-                .filter(|state| state.share > 0)
+                .filter(|state| state.connection_share > 0)
                 .count();
             (reached, group.len())
         });
@@ -287,7 +287,7 @@
             .is_some_and(|state| state.address != back_end.address);
         if moved {
             self.retire_connections(context, index);
-            self.forget_old_address(context, index, back_end);
+            self.reset_for_new_address(context, index, back_end);
         }
         if let Some(state) = self.back_ends.get_mut(index) {
             state.service = service;
@@ -295,12 +295,12 @@
             state.configured = true;
         }
         if moved {
-            self.open_where_needed(context, index);
+            self.open_for_waiting(context, index);
         }
     }
 
     /// Another address is another server process: nothing learnt holds for it.
-    fn forget_old_address(
+    fn reset_for_new_address(
         &mut self,
         context: &Context<'_>,
         index: BackEndIndex,
@@ -328,10 +328,10 @@
                 continue;
             }
             state.configured = false;
-            state.share = 0;
+            state.connection_share = 0;
             self.fail_waiting(context, index);
             self.close_surplus(context, index);
-            self.back_ends.forget_if_drained(index);
+            self.back_ends.remove_if_drained(index);
         }
     }
 
@@ -342,7 +342,7 @@
             service,
             slots: back_end.slots as f32,
             configured: true,
-            share: 0,
+            connection_share: 0,
             in_flight: 0,
             pool: Default::default(),
             load: Default::default(),
--- a/crates/thornbridge-core/src/routing/slow_start.rs
+++ b/crates/thornbridge-core/src/routing/slow_start.rs
@@ -33,18 +33,18 @@
 /// Progress of one back end's start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowStart {
-    started: Option<Timestamp>,
+    started_at: Option<Timestamp>,
     cold_since: Option<Timestamp>,
 }
 
 impl SlowStart {
     /// The ramp begins.
     pub(super) fn begin(&mut self, now: Timestamp) {
-        self.started = Some(now);
+        self.started_at = Some(now);
     }
 
     /// The back end said how it is.
-    pub(super) fn readiness(&mut self, now: Timestamp, readiness: Readiness) {
+    pub(super) fn record_readiness(&mut self, now: Timestamp, readiness: Readiness) {
         match readiness {
             Readiness::Cold => self.cold_since = self.cold_since.or(Some(now)),
             Readiness::Ready | Readiness::Leaving => self.cold_since = None,
@@ -58,10 +58,11 @@
     }
 
     fn ramp_weight(&self, parameters: &SlowStartParameters, now: Timestamp) -> f32 {
-        let Some(started) = self.started else {
+        let Some(started_at) = self.started_at else {
             return 1.0;
         };
-        let progress = now.since(started).as_secs_f32() / parameters.ramp.as_secs_f32().max(1e-3);
+        let progress =
+            now.since(started_at).as_secs_f32() / parameters.ramp.as_secs_f32().max(1e-3);
         progress.clamp(parameters.least_weight, 1.0)
     }
 
--- a/crates/thornbridge-core/src/routing/subset.rs
+++ b/crates/thornbridge-core/src/routing/subset.rs
@@ -81,11 +81,11 @@
 
 /// How a back end's connections are given out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Allotment {
+enum Allocation {
     /// Every node has this many.
-    Everyone { pool: u32 },
+    AllNodes { pool: u32 },
     /// At most so many nodes have the least pool.
-    Some { nodes: u32 },
+    LimitedNodes { nodes: u32 },
 }
 
 /// An assignment in the making. [`Self::advance`] does a bounded part of the work.
@@ -94,17 +94,17 @@
     parameters: SubsetParameters,
     topology: Topology,
     nodes: Vec<SubsetNode>,
-    allotments: Vec<Allotment>,
+    allocations: Vec<Allocation>,
     /// Per back end: one bit per node.
     assigned: Vec<Vec<u64>>,
-    filled: Vec<u32>,
+    node_counts: Vec<u32>,
     group: usize,
-    shard: Option<ShardWork>,
+    shard: Option<ShardAssignment>,
 }
 
 /// The shard whose replicas are being given out.
 #[derive(Debug)]
-struct ShardWork {
+struct ShardAssignment {
     /// Replicas that cannot be open to everyone.
     limited: Vec<usize>,
     /// Zone of each of them, as one bit.
@@ -136,26 +136,26 @@
         expected_nodes: u32,
     ) -> Self {
         nodes.sort_by_key(|node| node.node);
-        let sharers = expected_nodes.max(nodes.len() as u32).max(1);
-        let allotments: Vec<Allotment> = topology
+        let node_count = expected_nodes.max(nodes.len() as u32).max(1);
+        let allocations: Vec<Allocation> = topology
             .servers
             .iter()
-            .map(|server| allot(&parameters, server.connections, sharers))
+            .map(|server| allocate(&parameters, server.connections, node_count))
             .collect();
         let words = nodes.len().div_ceil(WORD_BITS);
-        let assigned = allotments
+        let assigned = allocations
             .iter()
-            .map(|allotment| match allotment {
-                Allotment::Everyone { .. } => Vec::new(),
-                Allotment::Some { .. } => vec![0; words],
+            .map(|allocation| match allocation {
+                Allocation::AllNodes { .. } => Vec::new(),
+                Allocation::LimitedNodes { .. } => vec![0; words],
             })
             .collect();
         Self {
-            filled: vec![0; topology.servers.len()],
+            node_counts: vec![0; topology.servers.len()],
             parameters,
             topology,
             nodes,
-            allotments,
+            allocations,
             assigned,
             group: 0,
             shard: None,
@@ -164,12 +164,12 @@
 
     /// Does rounds until about `budget` pairs of node and back end were weighed. True when done.
     pub(crate) fn advance(&mut self, budget: usize) -> bool {
-        let mut weighed = 0;
+        let mut evaluated = 0;
         while self.group < self.topology.groups.len() {
-            if weighed >= budget {
+            if evaluated >= budget {
                 return false;
             }
-            weighed += self.next_round();
+            evaluated += self.next_round();
         }
         true
     }
@@ -180,10 +180,10 @@
             .nodes
             .binary_search_by_key(&node, |member| member.node)
             .ok();
-        (0..self.allotments.len())
-            .map(|server| match self.allotments[server] {
-                Allotment::Everyone { pool } => pool,
-                Allotment::Some { .. } => match position {
+        (0..self.allocations.len())
+            .map(|server| match self.allocations[server] {
+                Allocation::AllNodes { pool } => pool,
+                Allocation::LimitedNodes { .. } => match position {
                     Some(position) if self.has(server, position) => self.parameters.least_pool,
                     _ => 0,
                 },
@@ -192,20 +192,20 @@
     }
 
     /// Connections to the back ends that are open to every node; absent for the others.
-    pub(crate) fn open_shares(&self) -> impl Iterator<Item = Option<u32>> {
-        self.allotments.iter().map(|allotment| match allotment {
-            Allotment::Everyone { pool } => Some(*pool),
-            Allotment::Some { .. } => None,
+    pub(crate) fn unrestricted_shares(&self) -> impl Iterator<Item = Option<u32>> {
+        self.allocations.iter().map(|allocation| match allocation {
+            Allocation::AllNodes { pool } => Some(*pool),
+            Allocation::LimitedNodes { .. } => None,
         })
     }
 
     /// One round of one shard. Gives the number of pairs weighed.
     fn next_round(&mut self) -> usize {
         let mut shard = self.shard.take().unwrap_or_else(|| self.begin_shard());
-        let weighed = 1 + shard.limited.len() * self.nodes.len();
+        let evaluated = 1 + shard.limited.len() * self.nodes.len();
         if shard.round < shard.rounds && shard.full.contains(&false) {
             for choice in 0..shard.order.len() {
-                self.choose_for(shard.order[choice] as usize, &mut shard);
+                self.assign_next_replica(shard.order[choice] as usize, &mut shard);
             }
             shard.round += 1;
         }
@@ -214,23 +214,23 @@
         } else {
             self.group += 1;
         }
-        weighed
+        evaluated
     }
 
-    fn begin_shard(&self) -> ShardWork {
+    fn begin_shard(&self) -> ShardAssignment {
         let group = &self.topology.groups[self.group];
         let limited: Vec<usize> = group
             .iter()
             .map(|server| *server as usize)
-            .filter(|server| matches!(self.allotments[*server], Allotment::Some { .. }))
+            .filter(|server| matches!(self.allocations[*server], Allocation::LimitedNodes { .. }))
             .collect();
-        let open_to_all = (group.len() - limited.len()) as u32;
-        let mut shard = ShardWork {
+        let unrestricted = (group.len() - limited.len()) as u32;
+        let mut shard = ShardAssignment {
             zones: limited
                 .iter()
                 .map(|server| zone_bit(&self.topology.servers[*server].zone))
                 .collect(),
-            rounds: self.parameters.replicas_wanted.saturating_sub(open_to_all),
+            rounds: self.parameters.replicas_wanted.saturating_sub(unrestricted),
             full: limited.iter().map(|server| self.is_full(*server)).collect(),
             limited,
             hashes: Vec::new(),
@@ -244,13 +244,13 @@
             shard.rounds = 0;
         }
         if shard.rounds > 0 {
-            self.prepare(&mut shard);
+            self.initialize_pairs(&mut shard);
         }
         shard
     }
 
     /// Hashes all pairs, and takes over what nodes have of these back ends for other shards.
-    fn prepare(&self, shard: &mut ShardWork) {
+    fn initialize_pairs(&self, shard: &mut ShardAssignment) {
         let pairs = shard.limited.len() * self.nodes.len();
         shard.hashes.reserve_exact(pairs);
         shard.held.reserve_exact(pairs);
@@ -278,7 +278,7 @@
 
     /// Gives the node its next replica, if one is left: first by zone, the node's own one for the
     /// first replica and a new one for the others; then by hash.
-    fn choose_for(&mut self, position: usize, shard: &mut ShardWork) {
+    fn assign_next_replica(&mut self, position: usize, shard: &mut ShardAssignment) {
         if shard.counts[position] > shard.round {
             return;
         }
@@ -310,7 +310,7 @@
         shard.counts[position] += 1;
         shard.held_zones[position] |= shard.zones[replica];
         self.assigned[server][position / WORD_BITS] |= 1 << (position % WORD_BITS);
-        self.filled[server] += 1;
+        self.node_counts[server] += 1;
         shard.full[replica] = self.is_full(server);
     }
 
@@ -322,9 +322,9 @@
     }
 
     fn is_full(&self, server: usize) -> bool {
-        match self.allotments[server] {
-            Allotment::Everyone { .. } => true,
-            Allotment::Some { nodes } => self.filled[server] >= nodes,
+        match self.allocations[server] {
+            Allocation::AllNodes { .. } => true,
+            Allocation::LimitedNodes { nodes } => self.node_counts[server] >= nodes,
         }
     }
 }
@@ -344,13 +344,13 @@
     xxh3_64_with_seed(&node.to_le_bytes(), server)
 }
 
-fn allot(parameters: &SubsetParameters, connections: u32, sharers: u32) -> Allotment {
-    let given_out = (f64::from(connections) * (1.0 - parameters.reserve)) as u32;
-    let given_out = given_out.max(1).min(connections);
-    if given_out >= sharers {
-        let pool = (given_out / sharers).min(parameters.greatest_pool);
-        return Allotment::Everyone { pool };
+fn allocate(parameters: &SubsetParameters, connections: u32, node_count: u32) -> Allocation {
+    let available = (f64::from(connections) * (1.0 - parameters.reserve)) as u32;
+    let available = available.max(1).min(connections);
+    if available >= node_count {
+        let pool = (available / node_count).min(parameters.greatest_pool);
+        return Allocation::AllNodes { pool };
     }
-    let nodes = given_out / parameters.least_pool.max(1);
-    Allotment::Some { nodes }
+    let nodes = available / parameters.least_pool.max(1);
+    Allocation::LimitedNodes { nodes }
 }
--- a/crates/thornbridge-core/src/routing/tests/rules.rs
+++ b/crates/thornbridge-core/src/routing/tests/rules.rs
@@ -117,9 +117,9 @@
         harness.call(|router, context| router.health_learnt(context, &leaving));
         let ready = record(Readiness::Ready, version);
         harness.call(|router, context| router.health_learnt(context, &ready));
-        assert!(!harness.router.is_sound(&first));
+        assert!(!harness.router.is_healthy(&first));
         harness.pass(Duration::from_secs(7));
-        assert_eq!(harness.router.is_sound(&first), back, "version {version}");
+        assert_eq!(harness.router.is_healthy(&first), back, "version {version}");
     }
 }
 
@@ -144,7 +144,7 @@
     assert_eq!(ejected.len(), 2, "three tenths of eight: {ejected:?}");
     assert!(harness.router.counters().ejections_denied > 0);
     for shard in 0..4 {
-        let sound = (0..2).filter(|replica| harness.router.is_sound(&id(shard, *replica)));
+        let sound = (0..2).filter(|replica| harness.router.is_healthy(&id(shard, *replica)));
         assert!(sound.count() >= 1, "shard {shard}");
     }
 }
@@ -164,11 +164,11 @@
             None,
         );
     }
-    assert!(!harness.router.is_sound(&first));
+    assert!(!harness.router.is_healthy(&first));
     let replicas = [first, second.clone()];
     assert_eq!(harness.choose(&replicas), Some(second));
     harness.pass(Duration::from_secs(6));
-    assert!(harness.router.is_sound(&replicas[0]));
+    assert!(harness.router.is_healthy(&replicas[0]));
     let chosen: Vec<_> = (0..200).filter_map(|_| harness.choose(&replicas)).collect();
     let share = chosen
         .iter()
@@ -218,7 +218,7 @@
     );
     harness.pass(Duration::from_millis(60));
     harness.open_all();
-    assert!(harness.router.is_sound(&first));
+    assert!(harness.router.is_healthy(&first));
 }
 
 /// The late reply of a cancelled attempt frees its connection for the next one.
--- a/crates/thornbridge-core/src/routing/timing.rs
+++ b/crates/thornbridge-core/src/routing/timing.rs
@@ -12,7 +12,7 @@
             self.reconnects.first().map(|(time, _)| *time),
             self.warm_up_due,
             self.housekeeping_due,
-            self.subset_work.due,
+            self.subset_state.due,
         ];
         timeouts.into_iter().flatten().min()
     }
@@ -23,18 +23,18 @@
         while let Some(attempt) = self.attempts.next_expired(context.now) {
             self.expire(context, attempt);
         }
-        while let Some(attempt) = self.attempts.next_overdue(context.now) {
+        while let Some(attempt) = self.attempts.next_unanswered_cancellation(context.now) {
             self.abandon(context, attempt);
         }
         self.reconnect(context);
         self.warm_up(context);
-        if is_due(self.subset_work.due, context.now) {
-            self.subset_work.due = None;
+        if is_due(self.subset_state.due, context.now) {
+            self.subset_state.due = None;
             self.advance_subset(context);
         }
         if is_due(self.housekeeping_due, context.now) {
             self.housekeeping_due = Some(context.now + self.parameters.housekeeping_interval);
-            self.keep_house(context);
+            self.run_housekeeping(context);
         }
     }
 
@@ -44,8 +44,8 @@
                 return;
             }
             self.reconnects.pop_first();
-            self.open_warm(context, index);
-            self.open_where_needed(context, index);
+            self.open_warm_connections(context, index);
+            self.open_for_waiting(context, index);
         }
     }
 
@@ -57,7 +57,7 @@
             let Some(index) = self.warm_up.pop_front() else {
                 break;
             };
-            self.open_warm(context, index);
+            self.open_warm_connections(context, index);
         }
         let interval = self.parameters.connections.warm_up_interval;
         self.warm_up_due = (!self.warm_up.is_empty()).then_some(context.now + interval);
