--- a/crates/thornbridge-node/src/gateway/activity.rs
+++ b/crates/thornbridge-node/src/gateway/activity.rs
@@ -1,6 +1,7 @@
-//! What a caller's connection is doing, seen from its bytes: resting, bringing a request's head,
-//! or waiting for an answer. So one sweep can close connections that rest for too long or bring
-//! their heads too slowly, by limits that change while they are open.
+//! Activity of a caller's connection: idle, receiving a request head, or processing a request.
+//!
+//! hyper's own timeouts are fixed per connection; tracking the activity here lets a periodic check
+//! apply idle and head timeouts that change while the connection is open.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -10,16 +11,16 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-const RESTING: u8 = 0;
-const HEAD: u8 = 1;
-const BUSY: u8 = 2;
+const IDLE: u8 = 0;
+const RECEIVING_HEAD: u8 = 1;
+const PROCESSING: u8 = 2;
 
-/// The state of one connection and since when.
+/// Activity state of a connection and the time of its last change.
 #[derive(Debug)]
 pub(super) struct Activity {
     epoch: Instant,
     state: AtomicU8,
-    since_millis: AtomicU64,
+    state_since_ms: AtomicU64,
     requests: AtomicU64,
 }
 
@@ -27,48 +28,48 @@
     pub(super) fn new() -> Arc<Self> {
         Arc::new(Self {
             epoch: Instant::now(),
-            state: AtomicU8::new(RESTING),
-            since_millis: AtomicU64::new(0),
+            state: AtomicU8::new(IDLE),
+            state_since_ms: AtomicU64::new(0),
             requests: AtomicU64::new(0),
         })
     }
 
-    /// A request's head is whole; gives whether it is the connection's first.
-    pub(super) fn request_began(&self) -> bool {
-        self.enter(BUSY);
+    /// Marks the start of a request; returns whether it is the first on the connection.
+    pub(super) fn request_started(&self) -> bool {
+        self.set_state(PROCESSING);
         self.requests.fetch_add(1, Ordering::Relaxed) == 0
     }
 
-    /// Its answer is decided.
+    /// Marks the connection as idle after a request.
     pub(super) fn request_ended(&self) {
-        self.enter(RESTING);
+        self.set_state(IDLE);
     }
 
-    /// Whether it rests, or brings a head, for longer than allowed.
-    pub(super) fn is_overdue(&self, idle: Duration, head: Duration) -> bool {
-        let since = Duration::from_millis(self.since_millis.load(Ordering::Relaxed));
+    /// Whether the idle or the head timeout has passed.
+    pub(super) fn is_overdue(&self, idle_timeout: Duration, head_timeout: Duration) -> bool {
+        let since = Duration::from_millis(self.state_since_ms.load(Ordering::Relaxed));
         let elapsed = self.epoch.elapsed().saturating_sub(since);
         match self.state.load(Ordering::Relaxed) {
-            RESTING => elapsed > idle,
-            HEAD => elapsed > head,
+            IDLE => elapsed > idle_timeout,
+            RECEIVING_HEAD => elapsed > head_timeout,
             _ => false,
         }
     }
 
-    fn bytes_came(&self) {
-        if self.state.load(Ordering::Relaxed) == RESTING {
-            self.enter(HEAD);
+    fn bytes_received(&self) {
+        if self.state.load(Ordering::Relaxed) == IDLE {
+            self.set_state(RECEIVING_HEAD);
         }
     }
 
-    fn enter(&self, state: u8) {
+    fn set_state(&self, state: u8) {
         let now = self.epoch.elapsed().as_millis() as u64;
         self.state.store(state, Ordering::Relaxed);
-        self.since_millis.store(now, Ordering::Relaxed);
+        self.state_since_ms.store(now, Ordering::Relaxed);
     }
 }
 
-/// A caller's stream that notes when bytes come.
+/// A caller's TCP stream that records received bytes in an [`Activity`].
 pub(super) struct ObservedStream {
     stream: TcpStream,
     activity: Arc<Activity>,
@@ -89,7 +90,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.activity.bytes_came();
+            self.activity.bytes_received();
         }
         polled
     }
--- a/crates/thornbridge-node/src/gateway/answer_delay.rs
+++ b/crates/thornbridge-node/src/gateway/answer_delay.rs
@@ -1,16 +1,16 @@
-//! The time that answers wait between the driver's decision and their caller's task.
+//! Delay between the driver's decision on an answer and its receipt by the caller's task.
 //!
-//! Callers' tasks tell it and the driver hands it to the core, which answers earlier on a machine
-//! that is slow to write.
+//! Caller tasks record the delay and the driver passes it to the core, which answers earlier when
+//! the delay is large.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 use thornbridge_core::gateway::GatewayAnswer;
 
-/// No answer was written since the last look.
+/// Marks that there is no delay since the last [`AnswerDelays::take`].
 const NONE: u64 = u64::MAX;
 
-/// An answer, and when it was decided.
+/// An answer and the time of its decision.
 #[derive(Debug)]
 pub(super) struct DecidedAnswer {
     pub(super) answer: GatewayAnswer,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The delay of the newest answer.
+/// Delay of the newest answer, shared by caller tasks and the driver.
 #[derive(Debug)]
 pub(super) struct AnswerDelays {
     newest_us: AtomicU64,
@@ -41,13 +41,13 @@
 }
 
 impl AnswerDelays {
-    /// An answer reached its caller's task.
+    /// Records the delay of an answer that reached its caller's task.
     pub(super) fn observe(&self, answer: &DecidedAnswer) {
         let delay_us = answer.decided.elapsed().as_micros() as u64;
         self.newest_us.store(delay_us, Ordering::Relaxed);
     }
 
-    /// The delay of the newest answer since the last call.
+    /// Delay of the newest answer since the last call, if any.
     pub(super) fn take(&self) -> Option<Duration> {
         let delay_us = self.newest_us.swap(NONE, Ordering::Relaxed);
         (delay_us != NONE).then(|| Duration::from_micros(delay_us))
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -1,9 +1,9 @@
-//! The interface towards HTTP callers: whole requests in, whole answers out.
+//! HTTP server for callers. Requests and answers are buffered whole.
 
 use super::activity::{Activity, ObservedStream};
 use super::answer_delay::AnswerDelays;
 use super::driver::{CallerRequest, GatewayInput};
-use super::headers::{WireNames, number, strip};
+use super::headers::{WireNames, number_value, strip_hop_by_hop};
 use crate::sockets;
 use crate::unanswered::{OutcomeUnknown, Unanswered};
 use bytes::Bytes;
@@ -31,70 +31,71 @@
 #[cfg(test)]
 mod tests;
 
-/// Pause after an accept that failed, as when the process has no descriptor left.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Time that a caller may leave bytes of an answer untaken.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(8);
-/// Time between looks at resting connections.
+/// Delay after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time for a caller to acknowledge sent bytes before its connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Interval between checks of a connection's timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Least buffer that hyper takes for a head.
-const LEAST_HEAD_BYTES: usize = 8 * 1024;
-/// Time for a request's body.
+/// Minimum buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// Time to receive a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What all connections of callers share.
+/// State shared by all caller connections.
 #[derive(Debug)]
-pub(super) struct Callers {
+pub(super) struct CallerContext {
     pub(super) names: Arc<WireNames>,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
-    pub(super) gone: mpsc::UnboundedSender<CallerId>,
+    /// Callers that disconnected before their answer.
+    pub(super) disconnected: mpsc::UnboundedSender<CallerId>,
     pub(super) limits: watch::Receiver<CallerLimits>,
-    /// Set when a planned stop has begun: answers close their connections.
+    /// Set when a planned stop begins: each connection closes after its next answer.
     pub(super) closing: AtomicBool,
-    /// Cancelled when resting connections are to be closed too.
-    pub(super) ended: tokio_util::sync::CancellationToken,
-    pub(super) connections: AtomicUsize,
-    pub(super) connections_maximum: usize,
-    pub(super) next_caller: AtomicU64,
-    pub(super) delays: Arc<AnswerDelays>,
+    /// Cancelled at the end of a planned stop: stops accepting and closes idle connections.
+    pub(super) shutdown: tokio_util::sync::CancellationToken,
+    pub(super) open_connections: AtomicUsize,
+    pub(super) max_connections: usize,
+    pub(super) next_caller_id: AtomicU64,
+    pub(super) answer_delays: Arc<AnswerDelays>,
 }
 
-/// Takes connections until the process ends.
-pub(super) async fn listen(callers: Arc<Callers>, listener: TcpListener) {
+/// Accepts connections until shutdown. Closes new ones at once when the limit is reached.
+pub(super) async fn listen(context: Arc<CallerContext>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
-            () = callers.ended.cancelled() => return,
+            () = context.shutdown.cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok((stream, _)) => {
-                if callers.connections.load(Ordering::Relaxed) >= callers.connections_maximum {
+                if context.open_connections.load(Ordering::Relaxed) >= context.max_connections {
                     continue;
                 }
-                callers.connections.fetch_add(1, Ordering::Relaxed);
-                let callers = Arc::clone(&callers);
+                context.open_connections.fetch_add(1, Ordering::Relaxed);
+                let context = Arc::clone(&context);
                 tokio::spawn(async move {
-                    serve(&callers, stream).await;
-                    callers.connections.fetch_sub(1, Ordering::Relaxed);
+                    serve_connection(&context, stream).await;
+                    context.open_connections.fetch_sub(1, Ordering::Relaxed);
                 });
             }
             Err(error) => {
                 log::warn!(side = "callers", error:% = error; "accept failed");
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve(callers: &Arc<Callers>, stream: TcpStream) {
-    sockets::prepare(&stream, UNACKNOWLEDGED);
+async fn serve_connection(context: &Arc<CallerContext>, stream: TcpStream) {
+    sockets::prepare(&stream, TCP_USER_TIMEOUT);
     let activity = Activity::new();
     let stream = ObservedStream::new(stream, Arc::clone(&activity));
-    let head_bytes = callers.limits.borrow().head_bytes.max(LEAST_HEAD_BYTES);
+    let head_bytes = context.limits.borrow().head_bytes.max(MIN_BUFFER_BYTES);
     let service = service_fn(|request| {
-        let callers = Arc::clone(callers);
+        let context = Arc::clone(context);
         let activity = Arc::clone(&activity);
-        async move { answer(&callers, &activity, request).await }
+        async move { handle_request(&context, &activity, request).await }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -104,13 +105,13 @@
     tokio::pin!(connection);
     let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
     loop {
-        // A connection's error is its caller's doing, a broken pipe or bytes that are not HTTP; or the
-        // driver ended under its request.
+        // Connection errors are ignored: a broken pipe, malformed HTTP, or a driver that stopped
+        // during the request.
         tokio::select! {
             _ = &mut connection => return,
-            () = callers.ended.cancelled() => break,
+            () = context.shutdown.cancelled() => break,
             _ = sweep.tick() => {
-                let limits = *callers.limits.borrow();
+                let limits = *context.limits.borrow();
                 if activity.is_overdue(limits.idle_timeout, limits.head_timeout) {
                     break;
                 }
@@ -121,19 +122,21 @@
     let _ = connection.await;
 }
 
-async fn answer(
-    callers: &Callers,
+async fn handle_request(
+    context: &CallerContext,
     activity: &Activity,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, OutcomeUnknown> {
-    let first_on_connection = activity.request_began();
-    let mut response = match take(callers, request, first_on_connection).await {
-        Ok(answer) => respond(&callers.names, answer),
-        Err(NotDecided::Malformed(problem)) => problem.response(),
-        Err(NotDecided::Unanswered(Unanswered::NeverTaken)) => Malformed::Stopping.response(),
-        Err(NotDecided::Unanswered(Unanswered::OutcomeUnknown(unknown))) => return Err(unknown),
+    let first_on_connection = activity.request_started();
+    let mut response = match submit(context, request, first_on_connection).await {
+        Ok(answer) => answer_response(&context.names, answer),
+        Err(RequestError::Rejected(rejection)) => rejection.response(),
+        Err(RequestError::Unanswered(Unanswered::NeverTaken)) => {
+            RejectedRequest::Stopping.response()
+        }
+        Err(RequestError::Unanswered(Unanswered::OutcomeUnknown(unknown))) => return Err(unknown),
     };
-    if callers.closing.load(Ordering::Relaxed) {
+    if context.closing.load(Ordering::Relaxed) {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -141,64 +144,64 @@
     Ok(response)
 }
 
-/// A request that is refused before the core sees it.
+/// Why a request was rejected before it reached the driver.
 #[derive(Clone, Copy, Debug)]
-enum Malformed {
-    TooLarge,
-    Slow,
-    Broken,
+enum RejectedRequest {
+    BodyTooLarge,
+    BodyTimedOut,
+    BodyIncomplete,
     Stopping,
 }
 
-/// Why there is no answer of the core.
+/// Why the core gave no answer to a request.
 #[derive(Clone, Copy, Debug)]
-enum NotDecided {
-    Malformed(Malformed),
+enum RequestError {
+    Rejected(RejectedRequest),
     Unanswered(Unanswered),
 }
 
-impl From<Malformed> for NotDecided {
-    fn from(malformed: Malformed) -> Self {
-        Self::Malformed(malformed)
+impl From<RejectedRequest> for RequestError {
+    fn from(rejection: RejectedRequest) -> Self {
+        Self::Rejected(rejection)
     }
 }
 
-impl From<Unanswered> for NotDecided {
+impl From<Unanswered> for RequestError {
     fn from(unanswered: Unanswered) -> Self {
         Self::Unanswered(unanswered)
     }
 }
 
-impl Malformed {
+impl RejectedRequest {
     fn response(self) -> Response<Full<Bytes>> {
         let (status, reason) = match self {
-            Self::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"),
-            Self::Slow => (StatusCode::REQUEST_TIMEOUT, "body_too_slow"),
-            Self::Broken => (StatusCode::BAD_REQUEST, "body_broken"),
+            Self::BodyTooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"),
+            Self::BodyTimedOut => (StatusCode::REQUEST_TIMEOUT, "body_too_slow"),
+            Self::BodyIncomplete => (StatusCode::BAD_REQUEST, "body_broken"),
             Self::Stopping => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
         };
-        let mut response = problem(status, reason);
+        let mut response = error_response(status, reason);
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
         response
     }
 }
 
-async fn take(
-    callers: &Callers,
+async fn submit(
+    context: &CallerContext,
     request: Request<Incoming>,
     first_on_connection: bool,
-) -> Result<GatewayAnswer, NotDecided> {
+) -> Result<GatewayAnswer, RequestError> {
     let (mut parts, body) = request.into_parts();
-    // hyper takes a length that stands beside a transfer encoding off, and closes the connection
-    // after the request (RFC 9112, section 6.3), so that nothing can be smuggled by it.
+    // No request smuggling: hyper drops a Content-Length that accompanies a Transfer-Encoding and
+    // closes the connection after the request (RFC 9112, section 6.3).
     let has_length = parts.headers.contains_key(CONTENT_LENGTH);
-    let limit = callers.limits.borrow().body_bytes;
+    let limit = context.limits.borrow().body_bytes;
     let body = read_body(body, limit).await?;
-    let head = head_of(&callers.names, &parts, &body, first_on_connection);
-    strip(&mut parts.headers);
+    let head = request_head(&context.names, &parts, &body, first_on_connection);
+    strip_hop_by_hop(&mut parts.headers);
     let (reply, answer) = oneshot::channel();
-    let caller = CallerId(callers.next_caller.fetch_add(1, Ordering::Relaxed));
+    let caller = CallerId(context.next_caller_id.fetch_add(1, Ordering::Relaxed));
     let request = CallerRequest {
         caller,
         head,
@@ -208,55 +211,56 @@
         reply,
     };
     let input = GatewayInput::Request(Box::new(request));
-    callers
+    context
         .inputs
         .send(input)
         .await
         .map_err(|_| Unanswered::NeverTaken)?;
-    let mut gone = GoneGuard {
+    let mut guard = DisconnectGuard {
         caller,
-        gone: &callers.gone,
+        disconnected: &context.disconnected,
         armed: true,
     };
     let decided = answer.await;
-    gone.armed = false;
+    guard.armed = false;
     let decided = decided.map_err(|_| Unanswered::OutcomeUnknown(OutcomeUnknown))?;
-    callers.delays.observe(&decided);
+    context.answer_delays.observe(&decided);
     Ok(decided.answer)
 }
 
-/// Tells the driver when the caller goes away before its answer: hyper drops the service then.
-struct GoneGuard<'a> {
+/// Notifies the driver when a caller disconnects before its answer: hyper then drops the request's
+/// future, and this guard with it.
+struct DisconnectGuard<'a> {
     caller: CallerId,
-    gone: &'a mpsc::UnboundedSender<CallerId>,
+    disconnected: &'a mpsc::UnboundedSender<CallerId>,
     armed: bool,
 }
 
-impl Drop for GoneGuard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.armed {
-            let _ = self.gone.send(self.caller);
+            let _ = self.disconnected.send(self.caller);
         }
     }
 }
 
-async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Malformed> {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, RejectedRequest> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     if body.size_hint().lower() > limit as u64 {
-        return Err(Malformed::TooLarge);
+        return Err(RejectedRequest::BodyTooLarge);
     }
     let collecting = Limited::new(body, limit).collect();
     match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
-        Err(_) => Err(Malformed::Slow),
+        Err(_) => Err(RejectedRequest::BodyTimedOut),
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Malformed::TooLarge),
-        Ok(Err(_)) => Err(Malformed::Broken),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RejectedRequest::BodyTooLarge),
+        Ok(Err(_)) => Err(RejectedRequest::BodyIncomplete),
     }
 }
 
-fn head_of(
+fn request_head(
     names: &WireNames,
     parts: &Parts,
     body: &[u8],
@@ -272,7 +276,7 @@
         text(&names.caller_timeout).and_then(|value| value.trim().parse::<f64>().ok());
     let caller_timeout = caller_timeout
         .filter(|caller_timeout| caller_timeout.is_finite() && *caller_timeout >= 0.0);
-    let host = host_of(text(&HOST).unwrap_or_default());
+    let host = host_without_port(text(&HOST).unwrap_or_default());
     let target = parts.uri.path_and_query();
     let credentials = parts.headers.get(AUTHORIZATION);
     let fingerprint = Fingerprint::of(&FingerprintSource {
@@ -292,8 +296,8 @@
     }
 }
 
-/// The host without its port, in lower case.
-fn host_of(host: &str) -> String {
+/// Host without port, in lower case.
+fn host_without_port(host: &str) -> String {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
@@ -301,7 +305,7 @@
     name.to_ascii_lowercase()
 }
 
-fn respond(names: &WireNames, answer: GatewayAnswer) -> Response<Full<Bytes>> {
+fn answer_response(names: &WireNames, answer: GatewayAnswer) -> Response<Full<Bytes>> {
     match answer {
         GatewayAnswer::Forwarded {
             status,
@@ -318,16 +322,16 @@
             signatures,
             missing,
             records,
-        } => gathered(names, &signatures, missing, records),
+        } => gathered_response(names, &signatures, missing, records),
         GatewayAnswer::Refused {
             reason,
             status,
             retry_after,
-        } => refused(reason, status, retry_after),
+        } => refusal_response(reason, status, retry_after),
     }
 }
 
-fn gathered(
+fn gathered_response(
     names: &WireNames,
     signatures: &[Bytes],
     missing: usize,
@@ -335,16 +339,16 @@
 ) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(records));
     let headers = response.headers_mut();
-    let octets = HeaderValue::from_static("application/octet-stream");
-    headers.insert(CONTENT_TYPE, octets);
+    let octet_stream = HeaderValue::from_static("application/octet-stream");
+    headers.insert(CONTENT_TYPE, octet_stream);
     if let Ok(joined) = HeaderValue::from_bytes(&signatures.join(&b", "[..])) {
         headers.insert(names.part_signatures.clone(), joined);
     }
-    headers.insert(names.parts_missing.clone(), number(missing as u64));
+    headers.insert(names.parts_missing.clone(), number_value(missing as u64));
     response
 }
 
-fn refused(
+fn refusal_response(
     reason: RefusalReason,
     refusal_status: RefusalStatus,
     retry_after: Option<Duration>,
@@ -356,7 +360,7 @@
         RefusalStatus::BadRequest => StatusCode::BAD_REQUEST,
         RefusalStatus::NotFound => StatusCode::NOT_FOUND,
     };
-    let mut response = problem(status, reason.as_str());
+    let mut response = error_response(status, reason.as_str());
     if let Some(after) = retry_after
         && let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64()))
     {
@@ -365,7 +369,7 @@
     response
 }
 
-fn problem(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
+fn error_response(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
     let body = serde_json::json!({ "error": reason }).to_string();
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() = status;
--- a/crates/thornbridge-node/src/gateway/callers/tests.rs
+++ b/crates/thornbridge-node/src/gateway/callers/tests.rs
@@ -1,8 +1,8 @@
-//! What callers see of a driver that ends.
+//! Answers to callers when the driver stops.
 
 use super::super::driver::GatewayInput;
 use super::super::headers::WireNames;
-use super::{Callers, listen};
+use super::{CallerContext, listen};
 use hyper::header::HeaderName;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,70 +25,70 @@
     }
 }
 
-/// Serves callers of a driver whose queue is this.
-async fn serving(inputs: mpsc::Sender<GatewayInput>) -> SocketAddr {
+/// Starts a caller listener whose requests go to `inputs`.
+async fn start_listener(inputs: mpsc::Sender<GatewayInput>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("its address");
-    let (gone, _) = mpsc::unbounded_channel();
+    let (disconnected, _) = mpsc::unbounded_channel();
     let (_, limits) = watch::channel(CallerLimits::default());
-    let callers = Callers {
+    let context = CallerContext {
         names: Arc::new(names()),
         inputs,
-        gone,
+        disconnected,
         limits,
         closing: AtomicBool::new(false),
-        ended: tokio_util::sync::CancellationToken::new(),
-        connections: AtomicUsize::new(0),
-        connections_maximum: 8,
-        next_caller: AtomicU64::new(1),
-        delays: Arc::default(),
+        shutdown: tokio_util::sync::CancellationToken::new(),
+        open_connections: AtomicUsize::new(0),
+        max_connections: 8,
+        next_caller_id: AtomicU64::new(1),
+        answer_delays: Arc::default(),
     };
-    tokio::spawn(listen(Arc::new(callers), listener));
+    tokio::spawn(listen(Arc::new(context), listener));
     address
 }
 
-/// Everything that a caller reads until its connection ends.
-async fn answer_of(mut stream: TcpStream) -> String {
+/// Reads until the connection ends.
+async fn read_answer(mut stream: TcpStream) -> String {
     let mut answer = Vec::new();
-    // A reset ends it as well as a close.
+    // A reset ends the connection just as a close does.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn ask(address: SocketAddr) -> TcpStream {
+async fn send_request(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let request = b"POST /once/x HTTP/1.1\r\nhost: h\r\nx-id: 1\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(request).await.expect("sent");
     stream
 }
 
-/// The process ends while a request that may not be repeated is at a server. Its caller was told 503,
-/// which promises that it did not run.
+/// Guards against a 503, which promises that the request did not run, for a request that may have
+/// reached a server when the process ended.
 #[tokio::test]
-async fn a_request_that_the_driver_took_and_never_answered_is_not_called_not_run() {
+async fn connection_is_closed_when_driver_drops_accepted_request() {
     let (inputs, mut driver) = mpsc::channel(1);
-    let stream = ask(serving(inputs).await).await;
-    let taken = driver.recv().await.expect("a request");
-    drop(taken);
+    let stream = send_request(start_listener(inputs).await).await;
+    let accepted = driver.recv().await.expect("a request");
+    drop(accepted);
     drop(driver);
-    assert_eq!(answer_of(stream).await, "");
+    assert_eq!(read_answer(stream).await, "");
 }
 
 #[tokio::test]
-async fn a_request_that_waits_in_the_queue_of_a_driver_that_ends_is_not_called_not_run() {
+async fn connection_is_closed_when_driver_stops_with_queued_request() {
     let (inputs, driver) = mpsc::channel(1);
-    let stream = ask(serving(inputs).await).await;
+    let stream = send_request(start_listener(inputs).await).await;
     while driver.is_empty() {
         tokio::task::yield_now().await;
     }
     drop(driver);
-    assert_eq!(answer_of(stream).await, "");
+    assert_eq!(read_answer(stream).await, "");
 }
 
 #[tokio::test]
-async fn a_request_that_comes_after_the_driver_ended_did_not_run() {
+async fn request_after_driver_stopped_gets_503() {
     let (inputs, driver) = mpsc::channel(1);
     drop(driver);
-    let answer = answer_of(ask(serving(inputs).await).await).await;
+    let answer = read_answer(send_request(start_listener(inputs).await).await).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
 }
--- a/crates/thornbridge-node/src/gateway/connection.rs
+++ b/crates/thornbridge-node/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: opened, given one attempt after the other, lost or closed.
+//! Connection to a server. Runs one attempt at a time until the connection is lost or closed.
 
 use super::driver::GatewayInput;
 use super::headers::WireNames;
@@ -22,35 +22,36 @@
 
 /// Time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+/// Time for a server to acknowledge sent bytes before the connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An attempt for a connection.
+/// An attempt to send on a connection.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) attempt: AttemptId,
-    pub(super) id: HeaderValue,
+    /// Value of the request id header, which the server echoes.
+    pub(super) request_id: HeaderValue,
     pub(super) request: Request<Full<Bytes>>,
 }
 
-/// What a connection needs beside its jobs.
+/// Environment of a connection task.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectionContext {
     pub(super) names: Arc<WireNames>,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
 }
 
-/// Runs a connection until it is lost. Each attempt gets exactly one event.
+/// Opens a connection and runs its attempts until it is lost. Emits exactly one event per attempt.
 pub(super) async fn run(
     connection: ConnectionId,
     address: SocketAddr,
     context: ConnectionContext,
     mut jobs: mpsc::UnboundedReceiver<Job>,
 ) {
-    let began = Instant::now();
-    let opening = tokio::time::timeout(CONNECT_TIMEOUT, open(address));
-    if let Ok(Some((sender, transport))) = opening.await {
-        let connect_time = began.elapsed();
+    let started = Instant::now();
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, connect(address));
+    if let Ok(Some((sender, transport))) = connecting.await {
+        let connect_time = started.elapsed();
         let opened = GatewayEvent::ConnectionOpened {
             connection,
             connect_time,
@@ -59,8 +60,8 @@
             return;
         }
         let transport = Transport::Open(Box::pin(transport));
-        if serve(&context, sender, transport, &mut jobs).await == ServeEnd::AttemptFailed {
-            // The failure of the attempt tells of the connection too.
+        if run_jobs(&context, sender, transport, &mut jobs).await == JobsEnd::AttemptFailed {
+            // `GatewayEvent::Failed` implies the loss of the connection.
             return;
         }
     }
@@ -78,26 +79,29 @@
         .await;
 }
 
+/// Why a connection stopped running jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ServeEnd {
+enum JobsEnd {
+    /// Lost or closed without an attempt in flight.
     Lost,
+    /// An attempt failed, and an event reported its failure.
     AttemptFailed,
 }
 
-async fn serve(
+async fn run_jobs(
     context: &ConnectionContext,
     mut sender: SendRequest<Full<Bytes>>,
     mut transport: Transport,
     jobs: &mut mpsc::UnboundedReceiver<Job>,
-) -> ServeEnd {
+) -> JobsEnd {
     loop {
         let job = tokio::select! {
             biased;
-            () = &mut transport => return ServeEnd::Lost,
+            () = &mut transport => return JobsEnd::Lost,
             job = jobs.recv() => job,
         };
         let Some(job) = job else {
-            return ServeEnd::Lost;
+            return JobsEnd::Lost;
         };
         let attempt = job.attempt;
         let running = exchange(&context.names, &mut sender, job);
@@ -109,14 +113,14 @@
             Err(failure) => (GatewayEvent::Failed { attempt, failure }, true),
         };
         if context.send(event).await.is_err() || failed {
-            return ServeEnd::AttemptFailed;
+            return JobsEnd::AttemptFailed;
         }
     }
 }
 
-async fn open(address: SocketAddr) -> Option<(SendRequest<Full<Bytes>>, Connection)> {
+async fn connect(address: SocketAddr) -> Option<(SendRequest<Full<Bytes>>, Connection)> {
     let stream = TcpStream::connect(address).await.ok()?;
-    sockets::prepare(&stream, UNACKNOWLEDGED);
+    sockets::prepare(&stream, TCP_USER_TIMEOUT);
     http1::handshake(TokioIo::new(stream)).await.ok()
 }
 
@@ -129,7 +133,7 @@
     let response = match sender.try_send_request(job.request).await {
         Ok(response) => response,
         Err(mut error) => {
-            // hyper hands the request back only where it never began to write it.
+            // hyper returns the request only if no byte of it was written.
             let unsent = error.take_message().is_some();
             return Err(match unsent {
                 true => ExchangeFailure::NotSent,
@@ -137,7 +141,7 @@
             });
         }
     };
-    server_reply::read(names, &job.id, response).await
+    server_reply::read(names, &job.request_id, response).await
 }
 
 impl ConnectionContext {
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -1,12 +1,12 @@
-//! The driver task of a gateway: owns the core, feeds it events, carries out its actions.
+//! Driver task of a gateway: owns the core, feeds it events and runs its actions.
 
 use super::answer_delay::{AnswerDelays, DecidedAnswer};
 use super::connection::{self, ConnectionContext, Job};
-use super::headers::{WireNames, number};
+use super::headers::{WireNames, number_value};
 use super::log_lines;
-use super::metrics::{GatewayMetrics, Standing};
+use super::metrics::{GatewayMetrics, GaugeValues};
+use super::pending::PendingRequest;
 use super::store::StoreClient;
-use super::waiting::WaitingCaller;
 use crate::clock::{Clock, PauseDetector};
 use crate::input::{Input, InputReceiver};
 use crate::peers::Peers;
@@ -31,29 +31,29 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// Inputs handled before the core's actions are carried out.
-const BATCH: usize = 64;
-/// Longest time between two wakes.
-const LONGEST_SLEEP: Duration = Duration::from_millis(200);
-/// Gap between wakes that is told as a pause.
+/// Maximum number of inputs received in one iteration, for each channel.
+const MAX_BATCH: usize = 64;
+/// Maximum time between two iterations.
+const MAX_SLEEP: Duration = Duration::from_millis(200);
+/// Time between iterations above which the core is told that the process was paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
-/// Time between sweeps of the links to peers.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between removals of unused peers from the link table.
+const PEER_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A caller's whole request.
+/// Request of a caller, with its body.
 #[derive(Debug)]
 pub(super) struct CallerRequest {
     pub(super) caller: CallerId,
     pub(super) head: RequestHead,
-    /// Method, target and headers, without those that concern one connection only.
+    /// Method, target and end-to-end headers.
     pub(super) parts: Parts,
     pub(super) body: Bytes,
-    /// Whether the caller gave a length: then one is sent even where the body is empty.
+    /// Whether the caller sent `Content-Length`; servers then receive it for an empty body, too.
     pub(super) sent_length: bool,
     pub(super) reply: oneshot::Sender<DecidedAnswer>,
 }
 
-/// One input of the driver.
+/// Input of the driver.
 #[derive(Debug)]
 pub(super) enum GatewayInput {
     Event(Box<GatewayEvent>),
@@ -68,16 +68,16 @@
     task: AbortHandle,
 }
 
-/// Where the driver tells of itself.
-pub(super) struct Outlets {
+/// State that the driver publishes to other tasks.
+pub(super) struct DriverOutputs {
     pub(super) ready: watch::Sender<bool>,
     pub(super) limits: watch::Sender<CallerLimits>,
-    pub(super) standing: Arc<Mutex<Standing>>,
+    pub(super) gauges: Arc<Mutex<GaugeValues>>,
     pub(super) metrics: Arc<GatewayMetrics>,
-    pub(super) delays: Arc<AnswerDelays>,
+    pub(super) answer_delays: Arc<AnswerDelays>,
 }
 
-/// What the driver owns.
+/// Owner of the core and of the server connections.
 pub(super) struct GatewayDriver {
     pub(super) gateway: Gateway,
     pub(super) clock: Clock,
@@ -85,17 +85,18 @@
     pub(super) store: StoreClient,
     pub(super) peers: Peers,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
-    pub(super) outlets: Outlets,
-    waiting: HashMap<CallerId, WaitingCaller>,
+    pub(super) outputs: DriverOutputs,
+    pending: HashMap<CallerId, PendingRequest>,
     connections: HashMap<ConnectionId, ServerConnection>,
-    of_attempt: HashMap<AttemptId, ConnectionId>,
+    connection_of_attempt: HashMap<AttemptId, ConnectionId>,
+    /// Events that result from actions; handled after the core's current actions.
     follow_up: Vec<GatewayEvent>,
 }
 
-/// The channels that bring inputs.
-pub(super) struct Inlets {
+/// Channels that the driver receives from.
+pub(super) struct DriverInputs {
     pub(super) inputs: mpsc::Receiver<GatewayInput>,
-    pub(super) gone: mpsc::UnboundedReceiver<CallerId>,
+    pub(super) disconnected: mpsc::UnboundedReceiver<CallerId>,
     pub(super) peers: InputReceiver,
 }
 
@@ -106,7 +107,7 @@
         store: StoreClient,
         peers: Peers,
         inputs: mpsc::Sender<GatewayInput>,
-        outlets: Outlets,
+        outputs: DriverOutputs,
     ) -> Self {
         Self {
             gateway,
@@ -115,38 +116,38 @@
             store,
             peers,
             inputs,
-            outlets,
-            waiting: HashMap::new(),
+            outputs,
+            pending: HashMap::new(),
             connections: HashMap::new(),
-            of_attempt: HashMap::new(),
+            connection_of_attempt: HashMap::new(),
             follow_up: Vec::new(),
         }
     }
 
-    /// Runs for as long as the process.
-    pub(super) async fn run(mut self, mut inlets: Inlets) {
+    /// Runs for the lifetime of the process.
+    pub(super) async fn run(mut self, mut channels: DriverInputs) {
         let mut pauses = PauseDetector::new(self.clock.now(), PAUSE_THRESHOLD);
-        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
-        let timer = tokio::time::sleep(LONGEST_SLEEP);
+        let mut sweep = tokio::time::interval(PEER_SWEEP_INTERVAL);
+        let timer = tokio::time::sleep(MAX_SLEEP);
         tokio::pin!(timer);
-        let mut batch = Vec::with_capacity(BATCH);
+        let mut batch = Vec::with_capacity(MAX_BATCH);
         self.handle(GatewayEvent::Started);
         loop {
-            self.settle();
+            self.finish_iteration();
             let due = self.gateway.next_timeout();
             let due = due.unwrap_or(thornbridge_core::Timestamp::MAX);
-            timer.as_mut().reset(self.clock.instant(due, LONGEST_SLEEP));
-            let mut gone = None;
-            let mut peer = None;
+            timer.as_mut().reset(self.clock.instant(due, MAX_SLEEP));
+            let mut disconnected = None;
+            let mut peer_input = None;
             tokio::select! {
                 biased;
-                count = inlets.inputs.recv_many(&mut batch, BATCH) => {
+                count = channels.inputs.recv_many(&mut batch, MAX_BATCH) => {
                     if count == 0 {
                         return;
                     }
                 }
-                caller = inlets.gone.recv() => gone = caller,
-                input = inlets.peers.inputs.recv() => peer = input,
+                caller = channels.disconnected.recv() => disconnected = caller,
+                input = channels.peers.inputs.recv() => peer_input = input,
                 () = &mut timer => {}
                 _ = sweep.tick() => self.peers.sweep(),
             }
@@ -155,16 +156,17 @@
                 self.handle(GatewayEvent::Paused { duration });
             }
             for input in batch.drain(..) {
-                self.take(input);
+                self.handle_input(input);
             }
-            if let Some(caller) = gone {
-                self.caller_gone(caller);
+            if let Some(caller) = disconnected {
+                self.caller_disconnected(caller);
             }
-            // Peers are heard in each round: under load a slice that is to stop would go on.
-            let more = std::iter::from_fn(|| inlets.peers.inputs.try_recv().ok());
-            for input in peer.into_iter().chain(more).take(BATCH) {
+            // Receive from peers in every iteration: under load, the biased select would delay
+            // messages that stop slices.
+            let more = std::iter::from_fn(|| channels.peers.inputs.try_recv().ok());
+            for input in peer_input.into_iter().chain(more).take(MAX_BATCH) {
                 if let Input::Core(event) = input {
-                    self.take_peer(event);
+                    self.handle_peer_event(event);
                 }
             }
         }
@@ -174,32 +176,32 @@
         self.gateway.handle(self.clock.now(), event);
     }
 
-    fn take(&mut self, input: GatewayInput) {
+    fn handle_input(&mut self, input: GatewayInput) {
         match input {
             GatewayInput::Event(event) => {
-                self.note_end(&event);
+                self.remove_ended(&event);
                 self.handle(*event);
             }
-            GatewayInput::Request(request) => self.take_request(*request),
+            GatewayInput::Request(request) => self.handle_request(*request),
             GatewayInput::Stop => self.handle(GatewayEvent::StopRequested),
             GatewayInput::Reconfigure(parameters) => {
                 self.handle(GatewayEvent::Reconfigured { parameters });
             }
         }
-        self.carry_out_all();
+        self.run_actions();
     }
 
-    /// Forgets what an event says is over.
-    fn note_end(&mut self, event: &GatewayEvent) {
+    /// Removes the attempt or connection that ends with an event.
+    fn remove_ended(&mut self, event: &GatewayEvent) {
         match event {
             GatewayEvent::ConnectionLost { connection } => {
                 self.connections.remove(connection);
             }
             GatewayEvent::Replied { attempt, .. } => {
-                self.of_attempt.remove(attempt);
+                self.connection_of_attempt.remove(attempt);
             }
             GatewayEvent::Failed { attempt, .. } => {
-                if let Some(connection) = self.of_attempt.remove(attempt) {
+                if let Some(connection) = self.connection_of_attempt.remove(attempt) {
                     self.connections.remove(&connection);
                 }
             }
@@ -207,7 +209,7 @@
         }
     }
 
-    fn take_request(&mut self, request: CallerRequest) {
+    fn handle_request(&mut self, request: CallerRequest) {
         if request.reply.is_closed() {
             return;
         }
@@ -220,18 +222,18 @@
             reply,
             ..
         } = request;
-        let waiting = WaitingCaller::new(parts, body, sent_length, Some(reply));
-        self.waiting.insert(caller, waiting);
+        let pending = PendingRequest::new(parts, body, sent_length, Some(reply));
+        self.pending.insert(caller, pending);
         self.handle(GatewayEvent::Request { caller, head });
     }
 
-    fn caller_gone(&mut self, caller: CallerId) {
-        if self.waiting.remove(&caller).is_some() {
+    fn caller_disconnected(&mut self, caller: CallerId) {
+        if self.pending.remove(&caller).is_some() {
             self.handle(GatewayEvent::CallerDisconnected { caller });
         }
     }
 
-    fn take_peer(&mut self, event: Event) {
+    fn handle_peer_event(&mut self, event: Event) {
         match event {
             Event::PeerMessage { from, message } => {
                 self.handle(GatewayEvent::PeerMessage { from, message });
@@ -243,16 +245,16 @@
         }
     }
 
-    fn settle(&mut self) {
-        if let Some(delay) = self.outlets.delays.take() {
+    fn finish_iteration(&mut self) {
+        if let Some(delay) = self.outputs.answer_delays.take() {
             self.handle(GatewayEvent::AnswerDelayed { delay });
         }
         let due = self.gateway.next_timeout();
         if due.is_some_and(|due| due <= self.clock.now()) {
             self.handle(GatewayEvent::TimerDue);
         }
-        self.carry_out_all();
-        let standing = Standing {
+        self.run_actions();
+        let gauges = GaugeValues {
             members: self.gateway.members(),
             instances: self.gateway.registered_instances(),
             suspects: self.gateway.quarantine_records(),
@@ -260,20 +262,20 @@
             store_era: self.gateway.store_era(),
             in_flight: self.gateway.in_flight(),
             connections: self.connections.len(),
-            ready: *self.outlets.ready.borrow(),
+            ready: *self.outputs.ready.borrow(),
         };
-        let mut told = self
-            .outlets
-            .standing
+        let mut published = self
+            .outputs
+            .gauges
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *told = standing;
+        *published = gauges;
     }
 
-    fn carry_out_all(&mut self) {
+    fn run_actions(&mut self) {
         loop {
             while let Some(action) = self.gateway.poll_action() {
-                self.carry_out(action);
+                self.run_action(action);
             }
             if self.follow_up.is_empty() {
                 return;
@@ -284,31 +286,31 @@
         }
     }
 
-    fn carry_out(&mut self, action: GatewayAction) {
+    fn run_action(&mut self, action: GatewayAction) {
         match action {
             GatewayAction::Open {
                 connection,
                 address,
-            } => self.open(connection, address),
-            GatewayAction::Close { connection } => self.close(connection),
+            } => self.open_connection(connection, address),
+            GatewayAction::Close { connection } => self.close_connection(connection),
             GatewayAction::Send {
                 connection,
                 attempt,
                 caller,
                 instance,
                 caller_timeout,
-            } => self.send(connection, attempt, caller, &instance, caller_timeout),
+            } => self.send_attempt(connection, attempt, caller, &instance, caller_timeout),
             GatewayAction::Answer { caller, answer } => {
-                let waiting = self.waiting.remove(&caller);
-                if let Some(reply) = waiting.and_then(|waiting| waiting.reply) {
-                    // A caller that went away this very moment needs no answer.
+                let pending = self.pending.remove(&caller);
+                if let Some(reply) = pending.and_then(|pending| pending.reply) {
+                    // Fails if the caller has just disconnected.
                     let _ = reply.send(DecidedAnswer::now(answer));
                 }
             }
-            GatewayAction::SendTask { to, caller, task } => self.ask_owner(to, caller, *task),
-            GatewayAction::KeepRelayed { caller, relayed } => self.adopt(caller, &relayed),
+            GatewayAction::SendTask { to, caller, task } => self.send_task(to, caller, *task),
+            GatewayAction::KeepRelayed { caller, relayed } => self.keep_relayed(caller, &relayed),
             GatewayAction::ReleaseRelayed { caller } => {
-                self.waiting.remove(&caller);
+                self.pending.remove(&caller);
             }
             GatewayAction::Read {
                 kind,
@@ -319,37 +321,37 @@
             GatewayAction::SendPeer { to, message } => self.send_peer(to, &message),
             GatewayAction::SetReady { ready } => {
                 log::info!(ready; "readiness changed");
-                self.outlets.ready.send_replace(ready);
+                self.outputs.ready.send_replace(ready);
             }
             GatewayAction::SetLimits { limits } => {
-                self.outlets.limits.send_replace(limits);
+                self.outputs.limits.send_replace(limits);
             }
             GatewayAction::Finished(summary) => {
-                log_lines::finished(&summary);
-                self.outlets.metrics.finished(&summary);
+                log_lines::log_request(&summary);
+                self.outputs.metrics.record_request(&summary);
             }
             GatewayAction::Changed(change) => {
-                log_lines::changed(&change);
-                self.outlets.metrics.changed(&change);
+                log_lines::log_change(&change);
+                self.outputs.metrics.record_change(&change);
             }
         }
     }
 
     fn send_peer(&mut self, to: SocketAddr, message: &PeerMessage) {
         if !self.peers.send(to, message) {
-            let down = GatewayEvent::PeerLinkDown { address: to };
-            self.follow_up.push(down);
+            let link_down = GatewayEvent::PeerLinkDown { address: to };
+            self.follow_up.push(link_down);
         }
     }
 
-    fn ask_owner(&mut self, to: SocketAddr, caller: CallerId, task: SliceTask) {
-        let Some(waiting) = self.waiting.get_mut(&caller) else {
+    fn send_task(&mut self, to: SocketAddr, caller: CallerId, task: SliceTask) {
+        let Some(pending) = self.pending.get_mut(&caller) else {
             return;
         };
-        let request = match waiting.relayed() {
+        let request = match pending.encode_for_relay() {
             Ok(request) => request,
             Err(error) => {
-                log::warn!(error:% = error; "request cannot be relayed");
+                log::warn!(owner:% = to, error:% = error; "cannot encode request for slice owner");
                 let (owner, slice) = (to, task.slice);
                 let not_sent = GatewayEvent::TaskNotSent { owner, slice };
                 self.follow_up.push(not_sent);
@@ -360,19 +362,19 @@
         self.send_peer(to, &message);
     }
 
-    fn adopt(&mut self, caller: CallerId, relayed: &SharedBytes) {
-        match WaitingCaller::adopted(relayed) {
-            Ok(waiting) => {
-                self.waiting.insert(caller, waiting);
+    fn keep_relayed(&mut self, caller: CallerId, relayed: &SharedBytes) {
+        match PendingRequest::from_relayed(relayed) {
+            Ok(pending) => {
+                self.pending.insert(caller, pending);
             }
             Err(error) => {
-                log::warn!(error:% = error; "relayed request refused");
+                log::warn!(error:% = error; "relayed request rejected: malformed");
                 self.follow_up.push(GatewayEvent::RelayMalformed { caller });
             }
         }
     }
 
-    fn open(&mut self, connection: ConnectionId, address: SocketAddr) {
+    fn open_connection(&mut self, connection: ConnectionId, address: SocketAddr) {
         let (jobs, receiver) = mpsc::unbounded_channel();
         let context = ConnectionContext {
             names: Arc::clone(&self.names),
@@ -384,13 +386,13 @@
             .insert(connection, ServerConnection { jobs, task });
     }
 
-    fn close(&mut self, connection: ConnectionId) {
+    fn close_connection(&mut self, connection: ConnectionId) {
         if let Some(open) = self.connections.remove(&connection) {
             open.task.abort();
         }
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         connection: ConnectionId,
         attempt: AttemptId,
@@ -405,16 +407,16 @@
             _ => false,
         };
         if sent {
-            self.of_attempt.insert(attempt, connection);
+            self.connection_of_attempt.insert(attempt, connection);
             return;
         }
-        self.close(connection);
+        self.close_connection(connection);
         let failure = ExchangeFailure::NotSent;
         self.follow_up
             .push(GatewayEvent::Failed { attempt, failure });
     }
 
-    /// The caller's request as it goes to a server.
+    /// Builds the request to send to a server; `None` if the caller is gone or a header is invalid.
     fn job(
         &self,
         attempt: AttemptId,
@@ -422,27 +424,27 @@
         instance: &BackEndId,
         caller_timeout: Duration,
     ) -> Option<Job> {
-        let waiting = self.waiting.get(&caller)?;
-        let mut request = Request::new(Full::new(waiting.body.clone()));
-        *request.method_mut() = waiting.parts.method.clone();
-        *request.uri_mut() = waiting.parts.uri.clone();
+        let pending = self.pending.get(&caller)?;
+        let mut request = Request::new(Full::new(pending.body.clone()));
+        *request.method_mut() = pending.parts.method.clone();
+        *request.uri_mut() = pending.parts.uri.clone();
         *request.version_mut() = Version::HTTP_11;
-        let mut headers = waiting.parts.headers.clone();
+        let mut headers = pending.parts.headers.clone();
         let names = &self.names;
-        let id = headers.get(&names.request_id)?.clone();
+        let request_id = headers.get(&names.request_id)?.clone();
         headers.insert(
             &names.caller_timeout,
-            number(caller_timeout.as_millis() as u64),
+            number_value(caller_timeout.as_millis() as u64),
         );
         let instance = HeaderValue::from_str(instance.as_str()).ok()?;
         headers.insert(&names.expected_instance, instance);
-        if waiting.sent_length || !waiting.body.is_empty() {
-            headers.insert(CONTENT_LENGTH, number(waiting.body.len() as u64));
+        if pending.sent_length || !pending.body.is_empty() {
+            headers.insert(CONTENT_LENGTH, number_value(pending.body.len() as u64));
         }
         *request.headers_mut() = headers;
         Some(Job {
             attempt,
-            id,
+            request_id,
             request,
         })
     }
--- a/crates/thornbridge-node/src/gateway/headers.rs
+++ b/crates/thornbridge-node/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Headers: what a platform calls its own, and which concern one connection only.
+//! HTTP headers: names that the platform defines, and hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, PROXY_AUTHENTICATE,
@@ -8,29 +8,29 @@
 /// Names of the headers that the gateway reads and sets.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// Identity of a caller's request.
+    /// Request id set by the caller.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller waits.
+    /// Caller timeout, in milliseconds.
     pub caller_timeout: HeaderName,
-    /// Instance that is expected to answer.
+    /// Instance to which an attempt is addressed.
     pub expected_instance: HeaderName,
-    /// Signature of a server.
+    /// Signature of a server over its answer.
     pub signature: HeaderName,
-    /// Load of a server: running, waiting and slots, separated by commas.
+    /// Load of a server: running requests, waiting requests and slots, separated by commas.
     pub load: HeaderName,
-    /// Set where a server did not run a request.
+    /// Present if the server did not run the request.
     pub not_run: HeaderName,
-    /// Signatures of the parts of a gathered answer.
+    /// Signatures of the parts of a gather's answer.
     pub part_signatures: HeaderName,
-    /// Number of shards that are left out of it.
+    /// Number of shards that are missing from a gather's answer.
     pub parts_missing: HeaderName,
 }
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
-const CONNECTION_HEADERS: [HeaderName; 9] = [
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -42,8 +42,8 @@
     UPGRADE,
 ];
 
-/// Takes off the headers that concern one connection only, and the length, which is set anew.
-pub(super) fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers and `Content-Length`, which is set again for each message.
+pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -51,14 +51,14 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .collect();
-    for name in named.iter().chain(&CONNECTION_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Whether the headers say that the connection ends after this message.
-pub(super) fn closes(headers: &HeaderMap) -> bool {
+/// Whether the headers contain `Connection: close`.
+pub(super) fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let mut tokens = values
         .filter_map(|value| value.to_str().ok())
@@ -66,7 +66,7 @@
     tokens.any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Seconds of `Keep-Alive: timeout=N`.
+/// Value of `Keep-Alive: timeout=N`, in seconds.
 pub(super) fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     value.split(',').find_map(|part| {
@@ -76,7 +76,6 @@
     })
 }
 
-/// A number as a header's value.
-pub(super) fn number(value: u64) -> HeaderValue {
+pub(super) fn number_value(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
--- a/crates/thornbridge-node/src/gateway/log_lines.rs
+++ b/crates/thornbridge-node/src/gateway/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log: one for each request, and one for each change of state.
+//! Log lines: one for each request and one for each state change.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 };
 use thornbridge_proto::BackEndId;
 
-/// Attempts that one line names at most.
-const ATTEMPTS_NAMED: usize = 8;
+/// Maximum number of attempts listed in one line.
+const MAX_LISTED_ATTEMPTS: usize = 8;
 
-/// A request ended.
-pub(super) fn finished(summary: &RequestSummary) {
+/// Logs the end of a request.
+pub(super) fn log_request(summary: &RequestSummary) {
     log::info!(
         id = summary.id.as_str(),
         fingerprint:% = summary.fingerprint,
@@ -26,36 +26,37 @@
         attempts = summary.attempts_sent,
         denied = summary.extra_attempts_denied,
         caller_try = summary.caller_try.as_str(),
-        retry_after_ms = or_never(summary.retry_after),
-        coordinator = coordinator(summary).as_str(),
-        owners = owners(&summary.slices).as_str(),
-        notable = named(&summary.notable_attempts).as_str();
+        retry_after_ms = millis_or_minus_one(summary.retry_after),
+        coordinator = format_coordinator(summary).as_str(),
+        owners = format_owners(&summary.slices).as_str(),
+        notable = format_attempts(&summary.notable_attempts).as_str();
         "request"
     );
 }
 
-/// The node whose caller's request it was, where this one answered a slice of it.
-fn coordinator(summary: &RequestSummary) -> String {
+/// Address of the coordinator if this node answered a slice; empty otherwise.
+fn format_coordinator(summary: &RequestSummary) -> String {
     summary
         .coordinator
         .map_or_else(String::new, |address| address.to_string())
 }
 
-/// Owners that were asked for slices: when, and how each stood at the end.
-fn owners(slices: &[SliceSummary]) -> String {
+/// Slice owners, each with the time of the request to it and the outcome.
+fn format_owners(slices: &[SliceSummary]) -> String {
     let mut text = String::new();
     for slice in slices {
-        let asked_ms = millis(slice.requested_after);
+        let requested_ms = millis(slice.requested_after);
         let outcome = slice.outcome.as_str();
-        // Writing to a string cannot fail.
-        let _ = write!(text, "{}@{asked_ms}:{outcome};", slice.owner);
+        // Writing to a `String` cannot fail.
+        let _ = write!(text, "{}@{requested_ms}:{outcome};", slice.owner);
     }
     text
 }
 
-fn named(attempts: &[AttemptSummary]) -> String {
+/// Attempts, each with server, cause, send time, outcome and duration.
+fn format_attempts(attempts: &[AttemptSummary]) -> String {
     let mut text = String::new();
-    for attempt in attempts.iter().take(ATTEMPTS_NAMED) {
+    for attempt in attempts.iter().take(MAX_LISTED_ATTEMPTS) {
         let _ = write!(
             text,
             "{} {}@{}:{}",
@@ -69,14 +70,14 @@
         }
         text.push(';');
     }
-    if attempts.len() > ATTEMPTS_NAMED {
-        let _ = write!(text, "and {} more", attempts.len() - ATTEMPTS_NAMED);
+    if attempts.len() > MAX_LISTED_ATTEMPTS {
+        let _ = write!(text, "and {} more", attempts.len() - MAX_LISTED_ATTEMPTS);
     }
     text
 }
 
-/// A state changed.
-pub(super) fn changed(change: &GatewayChange) {
+/// Logs a state change.
+pub(super) fn log_change(change: &GatewayChange) {
     match change {
         GatewayChange::ConfigurationActivated {
             version,
@@ -168,7 +169,7 @@
         GatewayChange::StoreReader { reads, rank, age } => log::info!(
             reads = *reads,
             rank = *rank,
-            age_ms = or_never(*age);
+            age_ms = millis_or_minus_one(*age);
             "store reader"
         ),
         GatewayChange::Scarcity {
@@ -199,7 +200,7 @@
         } => log::info!(
             fingerprint:% = fingerprint,
             state = *state,
-            instances = joined(instances).as_str(),
+            instances = join_ids(instances).as_str(),
             origin = origin.as_str();
             "request quarantine"
         ),
@@ -211,13 +212,13 @@
     }
 }
 
-fn joined(instances: &[BackEndId]) -> String {
-    let names: Vec<&str> = instances.iter().map(BackEndId::as_str).collect();
-    names.join(" ")
+fn join_ids(instances: &[BackEndId]) -> String {
+    let ids: Vec<&str> = instances.iter().map(BackEndId::as_str).collect();
+    ids.join(" ")
 }
 
-/// Milliseconds; -1 where there is no such time.
-fn or_never(time: Option<Duration>) -> i64 {
+/// Milliseconds; -1 for `None`.
+fn millis_or_minus_one(time: Option<Duration>) -> i64 {
     time.map_or(-1, |time| millis(time) as i64)
 }
 
--- a/crates/thornbridge-node/src/gateway/metrics.rs
+++ b/crates/thornbridge-node/src/gateway/metrics.rs
@@ -9,12 +9,12 @@
 use std::fmt;
 use thornbridge_core::gateway::{AttemptSummary, GatewayChange, RequestSummary};
 
-/// Shortest latency that has a bucket, in seconds.
-const SHORTEST_SECONDS: f64 = 0.001;
-/// Ratio of neighbouring buckets.
-const RATIO: f64 = 1.5;
-/// Buckets; the longest ends at about 33 s.
-const BUCKETS: u16 = 26;
+/// Upper bound of the first latency bucket.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
+/// Ratio between the bounds of adjacent buckets.
+const BUCKET_RATIO: f64 = 1.5;
+/// Number of latency buckets.
+const BUCKET_COUNT: u16 = 26;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
@@ -43,9 +43,9 @@
     change: String,
 }
 
-/// Gauges that are read when a scrape asks.
+/// Gauge values, published by the driver and read by a scrape.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Standing {
+pub(super) struct GaugeValues {
     pub(super) members: usize,
     pub(super) instances: usize,
     pub(super) suspects: usize,
@@ -85,7 +85,11 @@
 }
 
 fn latency_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SHORTEST_SECONDS, RATIO, BUCKETS))
+    Histogram::new(exponential_buckets(
+        FIRST_BUCKET_SECONDS,
+        BUCKET_RATIO,
+        BUCKET_COUNT,
+    ))
 }
 
 impl GatewayMetrics {
@@ -149,11 +153,11 @@
         registry.register("ready", "1 where callers are wanted", self.ready.clone());
     }
 
-    /// A request ended.
-    pub(super) fn finished(&self, summary: &RequestSummary) {
+    /// Records the end of a request.
+    pub(super) fn record_request(&self, summary: &RequestSummary) {
         match summary.coordinator {
-            None => self.request(summary),
-            // Its coordinator counts the request.
+            None => self.count_request(summary),
+            // The coordinator counts the request; this node counts its slice.
             Some(_) => {
                 let outcome = summary.outcome.to_owned();
                 let labels = SliceLabels { outcome };
@@ -168,11 +172,11 @@
             self.slices.get_or_create(&labels).inc();
         }
         for attempt in &summary.notable_attempts {
-            self.attempt(attempt);
+            self.count_attempt(attempt);
         }
     }
 
-    fn request(&self, summary: &RequestSummary) {
+    fn count_request(&self, summary: &RequestSummary) {
         let labels = RequestLabels {
             route: summary.route.clone(),
             outcome: summary.outcome.to_owned(),
@@ -187,7 +191,7 @@
             .inc_by((summary.parts_requested - summary.parts_answered) as u64);
     }
 
-    fn attempt(&self, attempt: &AttemptSummary) {
+    fn count_attempt(&self, attempt: &AttemptSummary) {
         let labels = AttemptLabels {
             cause: attempt.cause.as_str().to_owned(),
             outcome: attempt.outcome.as_str().to_owned(),
@@ -195,8 +199,8 @@
         self.notable_attempts.get_or_create(&labels).inc();
     }
 
-    /// A state changed.
-    pub(super) fn changed(&self, change: &GatewayChange) {
+    /// Counts a state change.
+    pub(super) fn record_change(&self, change: &GatewayChange) {
         let change = match change {
             GatewayChange::ConfigurationActivated { .. } => "configuration_in_force",
             GatewayChange::Evacuation {
@@ -227,18 +231,18 @@
         self.changes.get_or_create(&ChangeLabels { change }).inc();
     }
 
-    /// Everything, as text.
-    pub(super) fn encode(&self, standing: &Standing) -> String {
-        self.members.set(standing.members as i64);
-        self.instances.set(standing.instances as i64);
-        self.suspects.set(standing.suspects as i64);
-        self.version.set(standing.version as i64);
-        self.store_era.set(standing.store_era as i64);
-        self.in_flight.set(standing.in_flight as i64);
-        self.connections.set(standing.connections as i64);
-        self.ready.set(i64::from(standing.ready));
+    /// Encodes all metrics in the Prometheus text format.
+    pub(super) fn encode(&self, gauges: &GaugeValues) -> String {
+        self.members.set(gauges.members as i64);
+        self.instances.set(gauges.instances as i64);
+        self.suspects.set(gauges.suspects as i64);
+        self.version.set(gauges.version as i64);
+        self.store_era.set(gauges.store_era as i64);
+        self.in_flight.set(gauges.in_flight as i64);
+        self.connections.set(gauges.connections as i64);
+        self.ready.set(i64::from(gauges.ready));
         let mut encoded = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = text::encode(&mut encoded, &self.registry);
         encoded
     }
--- a/crates/thornbridge-node/src/gateway/mod.rs
+++ b/crates/thornbridge-node/src/gateway/mod.rs
@@ -1,10 +1,9 @@
-//! The gateway's process: HTTP callers, servers, store and peers around
-//! [`thornbridge_core::gateway::Gateway`].
+//! Gateway process: sockets, timers and signals around [`thornbridge_core::gateway::Gateway`].
 //!
-//! One driver task owns the core. Everything runs on one thread: a node has a fraction of a
-//! processor, and threads would only take turns. What a particular platform calls its headers
-//! and objects is told by the adapter that composes the process ([`WireNames`],
-//! [`StoreProtocol`]).
+//! One driver task owns the core; other tasks handle callers, server connections, the store and
+//! peer links. All tasks run on one thread, since a node has a fraction of a processor.
+//! The platform adapter supplies the header names ([`WireNames`]) and the store's protocol
+//! ([`StoreProtocol`]).
 
 mod activity;
 mod answer_delay;
@@ -15,12 +14,12 @@
 mod log_lines;
 mod metrics;
 mod pages;
+mod pending;
 mod process;
 mod relaying;
 mod server_reply;
 mod settings;
 mod store;
-mod waiting;
 
 pub use headers::WireNames;
 pub use process::{GatewayError, GatewayListeners, RunningGateway, run_gateway};
--- a/crates/thornbridge-node/src/gateway/pages.rs
+++ b/crates/thornbridge-node/src/gateway/pages.rs
@@ -1,4 +1,4 @@
-//! Two small pages: readiness, and metrics as text.
+//! HTTP endpoint that serves one text page: readiness or metrics.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Pause after an accept that failed.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// Time for a request's head, and for a connection to rest.
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time to receive a request head; also the idle timeout of a connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a page says now.
+/// Renders the current status and text of a page.
 pub(super) type Page = Arc<dyn Fn() -> (StatusCode, String) + Send + Sync>;
 
-/// Serves one page at every path, until the process ends.
+/// Serves the page at every path until the process ends.
 pub(super) async fn serve(listener: TcpListener, page: Page) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let page = Arc::clone(&page);
@@ -40,7 +40,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever asks and leaves has its reasons.
+            // Connection errors, such as a client that disconnects, are ignored.
             let _ = connection.await;
         });
     }
--- a/crates/thornbridge-node/src/gateway/waiting.rs
+++ b/crates/thornbridge-node/src/gateway/pending.rs
@@ -1,26 +1,26 @@
-//! A request that is under way: what attempts are made of, and whom its answer goes to.
+//! Requests in flight: content for attempts and channel for the answer.
 
 use super::answer_delay::DecidedAnswer;
-use super::relaying::{self, RelayError, Relayed};
+use super::relaying::{self, RelayError, RelayedParts};
 use bytes::Bytes;
 use hyper::http::request::Parts;
 use thornbridge_proto::byte_string::SharedBytes;
 use thornbridge_proto::frame::FrameError;
 use tokio::sync::oneshot;
 
-/// A request under way.
+/// Request that has no answer yet.
 #[derive(Debug)]
-pub(super) struct WaitingCaller {
+pub(super) struct PendingRequest {
     pub(super) parts: Parts,
     pub(super) body: Bytes,
     pub(super) sent_length: bool,
-    /// Whom the answer goes to; `None` where another node relayed the request.
+    /// Channel for the answer; `None` if the request was relayed by another node.
     pub(super) reply: Option<oneshot::Sender<DecidedAnswer>>,
-    /// The request as it is relayed to other nodes, once it was.
-    relayed: Option<SharedBytes>,
+    /// Encoding for other nodes, cached.
+    encoded: Option<SharedBytes>,
 }
 
-impl WaitingCaller {
+impl PendingRequest {
     pub(super) fn new(
         parts: Parts,
         body: Bytes,
@@ -32,13 +32,13 @@
             body,
             sent_length,
             reply,
-            relayed: None,
+            encoded: None,
         }
     }
 
-    /// A request that another node relayed.
-    pub(super) fn adopted(relayed: &SharedBytes) -> Result<Self, RelayError> {
-        let Relayed {
+    /// Decodes a request that another node relayed.
+    pub(super) fn from_relayed(relayed: &SharedBytes) -> Result<Self, RelayError> {
+        let RelayedParts {
             parts,
             body,
             sent_length,
@@ -46,13 +46,13 @@
         Ok(Self::new(parts, body, sent_length, None))
     }
 
-    /// The request for other nodes; encoded once.
-    pub(super) fn relayed(&mut self) -> Result<SharedBytes, FrameError> {
-        if let Some(encoded) = &self.relayed {
+    /// Encodes the request for other nodes, on the first call only.
+    pub(super) fn encode_for_relay(&mut self) -> Result<SharedBytes, FrameError> {
+        if let Some(encoded) = &self.encoded {
             return Ok(encoded.clone());
         }
         let encoded = relaying::encode(&self.parts, &self.body, self.sent_length)?;
-        self.relayed = Some(encoded.clone());
+        self.encoded = Some(encoded.clone());
         Ok(encoded)
     }
 }
--- a/crates/thornbridge-node/src/gateway/process.rs
+++ b/crates/thornbridge-node/src/gateway/process.rs
@@ -1,10 +1,10 @@
-//! The gateway's process: its sockets, its signals, and the order in which it starts and stops.
+//! Gateway process: listeners, signals, start, reload and planned stop.
 
 use super::answer_delay::AnswerDelays;
-use super::callers::{self, Callers};
-use super::driver::{GatewayDriver, GatewayInput, Inlets, Outlets};
+use super::callers::{self, CallerContext};
+use super::driver::{DriverInputs, DriverOutputs, GatewayDriver, GatewayInput};
 use super::headers::WireNames;
-use super::metrics::{GatewayMetrics, Standing};
+use super::metrics::{GatewayMetrics, GaugeValues};
 use super::pages::{self, Page};
 use super::settings::{GatewaySettings, ReadSettings};
 use super::store::{StoreClient, StoreProtocol};
@@ -25,38 +25,39 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Inputs that wait for the driver.
-const INPUT_QUEUE: usize = 4_096;
-/// Inputs from peers that wait for the driver.
-const PEER_QUEUE: usize = 1_024;
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// Time that a stopping node still serves, so that whoever sends it callers notices.
-const LEAST_STOP: Duration = Duration::from_millis(3_000);
-/// Part of the grace of a stop that is left for the last bytes.
+/// Capacity of the driver's input queue.
+const INPUT_QUEUE_CAPACITY: usize = 4_096;
+/// Capacity of the driver's queue of inputs from peers.
+const PEER_QUEUE_CAPACITY: usize = 1_024;
+/// Maximum number of connections waiting to be accepted, for each listener.
+const LISTEN_BACKLOG: u32 = 1_024;
+/// Minimum time that a stopping node still serves, so that load balancers notice that it is no
+/// longer ready.
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_000);
+/// Part of the stop grace that is reserved for flushing answers.
 const STOP_RESERVE: Duration = Duration::from_millis(700);
-/// Time for callers to take the last bytes of their answers.
-const FLUSH: Duration = Duration::from_millis(400);
-/// Time between looks at the settings file.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Time between looks at what still runs during a stop.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Time for callers to receive the last bytes of their answers.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval between reads of the settings file.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between checks for requests in flight during a stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A gateway could not start.
+/// Error while starting a gateway.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// An address cannot be listened on.
+    /// A listening socket cannot be opened.
     #[snafu(display("cannot listen for {side} on {address}"))]
     Listen {
-        /// Who was to be served.
+        /// Interface of the listener, such as `callers` or `peers`.
         side: &'static str,
-        /// Address of the settings.
+        /// Address in the settings.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
     },
-    /// The process's signals cannot be taken.
-    #[snafu(display("cannot take signal {signal}"))]
+    /// A signal handler cannot be installed.
+    #[snafu(display("cannot install a handler for signal {signal}"))]
     Signals {
         /// Name of the signal.
         signal: &'static str,
@@ -65,14 +66,16 @@
     },
 }
 
-/// Runs a gateway until SIGTERM or SIGINT and the planned stop that follows.
+/// Runs a gateway until SIGTERM or SIGINT, then performs a planned stop.
+///
+/// Reloads the settings on SIGHUP and when their file changes.
 pub async fn run_gateway(
     settings: GatewaySettings,
     names: WireNames,
     store: Arc<dyn StoreProtocol>,
     read_settings: ReadSettings,
 ) -> Result<(), GatewayError> {
-    let mut signals = Signals::take()?;
+    let mut signals = Signals::install()?;
     let listeners = GatewayListeners::bind(&settings)?;
     log::info!(
         node = settings.name.as_str(),
@@ -83,7 +86,7 @@
         seeds = settings.seeds.len();
         "node starts"
     );
-    let mut in_force = InForce {
+    let mut active = ActiveSettings {
         parameters: settings.parameters.clone(),
         stop_grace: settings.stop_grace,
         problems: None,
@@ -93,24 +96,23 @@
         match signals.next().await {
             Signal::Stop => break,
             Signal::Reload => {
-                log::info!("settings are read anew: asked to");
-                running.reload(&read_settings, &mut in_force).await;
+                log::info!("settings reload requested by SIGHUP");
+                running.reload(&read_settings, &mut active).await;
             }
-            // The file may also change without a word.
-            Signal::Look => running.reload(&read_settings, &mut in_force).await,
+            Signal::PollSettings => running.reload(&read_settings, &mut active).await,
         }
     }
-    running.stop(in_force.stop_grace).await;
+    running.stop(active.stop_grace).await;
     log::info!("node ends");
     Ok(())
 }
 
-/// What of the settings can change while the process runs.
+/// Active values of the settings that a reload can change.
 #[derive(Clone, Debug, PartialEq)]
-struct InForce {
+struct ActiveSettings {
     parameters: GatewayParameters,
     stop_grace: Duration,
-    /// What was wrong with the file when it was last read.
+    /// Problems found by the last reload; logged when they change.
     problems: Option<String>,
 }
 
@@ -118,28 +120,28 @@
     terminate: tokio::signal::unix::Signal,
     interrupt: tokio::signal::unix::Signal,
     hang_up: tokio::signal::unix::Signal,
-    look: tokio::time::Interval,
+    settings_poll: tokio::time::Interval,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Signal {
     Stop,
     Reload,
-    Look,
+    PollSettings,
 }
 
 impl Signals {
-    fn take() -> Result<Self, GatewayError> {
-        let take = |kind, signal_name| {
+    fn install() -> Result<Self, GatewayError> {
+        let install = |kind, signal_name| {
             signal(kind).context(SignalsSnafu {
                 signal: signal_name,
             })
         };
         Ok(Self {
-            terminate: take(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: take(SignalKind::interrupt(), "SIGINT")?,
-            hang_up: take(SignalKind::hangup(), "SIGHUP")?,
-            look: tokio::time::interval(SETTINGS_LOOK),
+            terminate: install(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install(SignalKind::interrupt(), "SIGINT")?,
+            hang_up: install(SignalKind::hangup(), "SIGHUP")?,
+            settings_poll: tokio::time::interval(SETTINGS_POLL_INTERVAL),
         })
     }
 
@@ -148,26 +150,26 @@
             _ = self.terminate.recv() => Signal::Stop,
             _ = self.interrupt.recv() => Signal::Stop,
             _ = self.hang_up.recv() => Signal::Reload,
-            _ = self.look.tick() => Signal::Look,
+            _ = self.settings_poll.tick() => Signal::PollSettings,
         }
     }
 }
 
-/// The sockets that a gateway listens on.
+/// Listening sockets of a gateway.
 #[derive(Debug)]
 pub struct GatewayListeners {
-    /// For callers.
+    /// Callers.
     pub callers: TcpListener,
-    /// For whoever asks whether callers are wanted.
+    /// Readiness endpoint.
     pub readiness: TcpListener,
-    /// For peers.
+    /// Peers.
     pub peers: TcpListener,
-    /// For metrics.
+    /// Metrics endpoint, if enabled.
     pub metrics: Option<TcpListener>,
 }
 
 impl GatewayListeners {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses in the settings.
     pub fn bind(settings: &GatewaySettings) -> Result<Self, GatewayError> {
         let metrics = settings.metrics_address;
         Ok(Self {
@@ -180,42 +182,42 @@
         })
     }
 
-    /// Binds free ports of the loopback interface, for tests.
+    /// Binds free ports on the loopback interface, for tests.
     pub fn on_loopback() -> Result<Self, GatewayError> {
-        let any = SocketAddr::from((std::net::Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((std::net::Ipv4Addr::LOCALHOST, 0));
         Ok(Self {
-            callers: listen("callers", any)?,
-            readiness: listen("readiness", any)?,
-            peers: listen("peers", any)?,
-            metrics: Some(listen("metrics", any)?),
+            callers: listen("callers", any_port)?,
+            readiness: listen("readiness", any_port)?,
+            peers: listen("peers", any_port)?,
+            metrics: Some(listen("metrics", any_port)?),
         })
     }
 }
 
 fn listen(side: &'static str, address: SocketAddr) -> Result<TcpListener, GatewayError> {
-    let bound = || {
+    let bind = || {
         let socket = match address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
-    bound().context(ListenSnafu { side, address })
+    bind().context(ListenSnafu { side, address })
 }
 
-/// A gateway that runs in this process.
+/// Gateway running in this process.
 #[derive(Debug)]
 pub struct RunningGateway {
     inputs: mpsc::Sender<GatewayInput>,
-    callers: Arc<Callers>,
-    standing: Arc<Mutex<Standing>>,
+    caller_context: Arc<CallerContext>,
+    gauges: Arc<Mutex<GaugeValues>>,
     peers: Peers,
 }
 
 impl RunningGateway {
-    /// Starts a gateway on sockets that are already bound.
+    /// Starts a gateway on bound listeners.
     pub fn start(
         settings: GatewaySettings,
         names: WireNames,
@@ -226,9 +228,9 @@
             node: NodeId(rand::random()),
             address: settings.peer_address,
         };
-        let (inputs, inputs_receiver) = mpsc::channel(INPUT_QUEUE);
-        let (gone, gone_receiver) = mpsc::unbounded_channel();
-        let (peer_inputs, peer_receiver) = input::channel(PEER_QUEUE);
+        let (inputs, inputs_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+        let (disconnected, disconnected_receiver) = mpsc::unbounded_channel();
+        let (peer_inputs, peer_receiver) = input::channel(PEER_QUEUE_CAPACITY);
         let peers = Peers::new(
             endpoint,
             settings.cluster_key.clone(),
@@ -238,28 +240,28 @@
         let (ready, ready_receiver) = watch::channel(false);
         let (limits, limits_receiver) = watch::channel(CallerLimits::default());
         let names = Arc::new(names);
-        let delays = Arc::new(AnswerDelays::default());
-        let callers = Arc::new(Callers {
+        let answer_delays = Arc::new(AnswerDelays::default());
+        let caller_context = Arc::new(CallerContext {
             names: Arc::clone(&names),
             inputs: inputs.clone(),
-            gone,
+            disconnected,
             limits: limits_receiver,
             closing: AtomicBool::new(false),
-            ended: CancellationToken::new(),
-            connections: AtomicUsize::new(0),
-            connections_maximum: settings.connections,
-            next_caller: AtomicU64::new(1),
-            delays: Arc::clone(&delays),
+            shutdown: CancellationToken::new(),
+            open_connections: AtomicUsize::new(0),
+            max_connections: settings.connections,
+            next_caller_id: AtomicU64::new(1),
+            answer_delays: Arc::clone(&answer_delays),
         });
         let metrics = Arc::new(GatewayMetrics::new());
-        let standing = Arc::new(Mutex::new(Standing::default()));
-        let gateway = gateway_of(settings, endpoint);
-        let outlets = Outlets {
+        let gauges = Arc::new(Mutex::new(GaugeValues::default()));
+        let gateway = new_gateway(settings, endpoint);
+        let outputs = DriverOutputs {
             ready,
             limits,
-            standing: Arc::clone(&standing),
+            gauges: Arc::clone(&gauges),
             metrics: Arc::clone(&metrics),
-            delays,
+            answer_delays,
         };
         let store = StoreClient::new(store, inputs.clone());
         let driver = GatewayDriver::new(
@@ -268,94 +270,97 @@
             store,
             peers.clone(),
             inputs.clone(),
-            outlets,
+            outputs,
         );
-        let inlets = Inlets {
+        let channels = DriverInputs {
             inputs: inputs_receiver,
-            gone: gone_receiver,
+            disconnected: disconnected_receiver,
             peers: peer_receiver,
         };
-        tokio::spawn(driver.run(inlets));
-        tokio::spawn(callers::listen(Arc::clone(&callers), listeners.callers));
+        tokio::spawn(driver.run(channels));
+        tokio::spawn(callers::listen(
+            Arc::clone(&caller_context),
+            listeners.callers,
+        ));
         tokio::spawn(peers.clone().listen(listeners.peers));
         tokio::spawn(pages::serve(
             listeners.readiness,
             readiness_page(ready_receiver),
         ));
         if let Some(listener) = listeners.metrics {
-            let page = metrics_page(metrics, Arc::clone(&standing));
+            let page = metrics_page(metrics, Arc::clone(&gauges));
             tokio::spawn(pages::serve(listener, page));
         }
         Self {
             inputs,
-            callers,
-            standing,
+            caller_context,
+            gauges,
             peers,
         }
     }
 
-    /// Reads the settings, and takes what changed. Wrong ones change nothing.
-    async fn reload(&self, read_settings: &ReadSettings, in_force: &mut InForce) {
+    /// Reads the settings and applies changes. Invalid settings are logged and change nothing.
+    async fn reload(&self, read_settings: &ReadSettings, active: &mut ActiveSettings) {
         let settings = match read_settings() {
             Ok(settings) => settings,
             Err(problems) => {
-                if in_force.problems.as_ref() != Some(&problems) {
-                    log::warn!(problems = problems.as_str(); "settings kept: new ones are wrong");
+                if active.problems.as_ref() != Some(&problems) {
+                    log::warn!(problems = problems.as_str(); "reload failed: active settings kept");
                 }
-                in_force.problems = Some(problems);
+                active.problems = Some(problems);
                 return;
             }
         };
-        let new = InForce {
+        let new = ActiveSettings {
             parameters: settings.parameters,
             stop_grace: settings.stop_grace,
             problems: None,
         };
-        if new == *in_force {
+        if new == *active {
             return;
         }
-        *in_force = new;
-        let parameters = Box::new(in_force.parameters.clone());
+        *active = new;
+        let parameters = Box::new(active.parameters.clone());
         let _ = self
             .inputs
             .send(GatewayInput::Reconfigure(parameters))
             .await;
     }
 
-    /// Announces that it leaves, finishes what it has, and closes what rests.
+    /// Performs a planned stop: announces it, waits for requests in flight, closes all connections.
     pub async fn stop(self, grace: Duration) {
-        let began = tokio::time::Instant::now();
-        let latest = began + grace.saturating_sub(STOP_RESERVE);
-        let earliest = (began + LEAST_STOP).min(latest);
+        let started = tokio::time::Instant::now();
+        let latest = started + grace.saturating_sub(STOP_RESERVE);
+        let earliest = (started + MIN_STOP_TIME).min(latest);
         log::info!(grace_ms = grace.as_millis() as u64; "node stops");
         let _ = self.inputs.send(GatewayInput::Stop).await;
-        self.callers.closing.store(true, Ordering::Relaxed);
+        self.caller_context.closing.store(true, Ordering::Relaxed);
         loop {
             let now = tokio::time::Instant::now();
-            let over = now >= earliest && self.in_flight() == 0;
-            if over || now >= latest {
+            let drained = now >= earliest && self.in_flight() == 0;
+            if drained || now >= latest {
                 break;
             }
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
-        self.callers.ended.cancel();
+        self.caller_context.shutdown.cancel();
         let flushed = async {
-            while self.callers.connections.load(Ordering::Relaxed) > 0 {
-                tokio::time::sleep(STOP_LOOK / 10).await;
+            while self.caller_context.open_connections.load(Ordering::Relaxed) > 0 {
+                tokio::time::sleep(STOP_POLL_INTERVAL / 10).await;
             }
         };
-        // Callers that do not take their bytes in this time lose them.
-        let _ = tokio::time::timeout(FLUSH, flushed).await;
+        // Connections that are still open after the timeout are dropped.
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, flushed).await;
         self.peers.abort();
     }
 
     fn in_flight(&self) -> usize {
-        let standing = self.standing.lock().unwrap_or_else(PoisonError::into_inner);
-        standing.in_flight
+        let gauges = self.gauges.lock().unwrap_or_else(PoisonError::into_inner);
+        gauges.in_flight
     }
 }
 
-fn gateway_of(settings: GatewaySettings, endpoint: PeerEndpoint) -> Gateway {
+fn new_gateway(settings: GatewaySettings, endpoint: PeerEndpoint) -> Gateway {
     Gateway::new(GatewaySetup {
         endpoint,
         name: settings.name,
@@ -366,7 +371,7 @@
     })
 }
 
-/// Links to peers that are cut off show soon: budgets depend on who is there.
+/// Short timeouts: budgets depend on the prompt detection of lost peers.
 fn peer_parameters() -> PeerParameters {
     PeerParameters {
         hello_timeout: Duration::from_millis(1_000),
@@ -383,9 +388,9 @@
     })
 }
 
-fn metrics_page(metrics: Arc<GatewayMetrics>, standing: Arc<Mutex<Standing>>) -> Page {
+fn metrics_page(metrics: Arc<GatewayMetrics>, gauges: Arc<Mutex<GaugeValues>>) -> Page {
     Arc::new(move || {
-        let standing = *standing.lock().unwrap_or_else(PoisonError::into_inner);
-        (StatusCode::OK, metrics.encode(&standing))
+        let gauges = *gauges.lock().unwrap_or_else(PoisonError::into_inner);
+        (StatusCode::OK, metrics.encode(&gauges))
     })
 }
--- a/crates/thornbridge-node/src/gateway/relaying.rs
+++ b/crates/thornbridge-node/src/gateway/relaying.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way to another node of the cluster, and out of such a message.
+//! Encoding of callers' requests that are relayed to other nodes of the cluster.
 
 #[cfg(test)]
 mod tests;
@@ -12,31 +12,31 @@
 use thornbridge_proto::frame::{self, FrameError};
 use thornbridge_proto::peer::slice::RelayedRequest;
 
-/// A relayed request that cannot be used.
+/// Error of decoding a relayed request.
 #[derive(Debug, Snafu)]
 pub(super) enum RelayError {
-    /// Not a relayed request.
+    /// The bytes are not a relayed request.
     #[snafu(display("the relayed request cannot be decoded: {source}"))]
     Decode {
         /// Cause.
         source: FrameError,
     },
-    /// Its head is not HTTP.
-    #[snafu(display("the relayed request's {part} is not HTTP"))]
+    /// A part of the request's head is not valid HTTP.
+    #[snafu(display("the relayed request's {part} is not valid HTTP"))]
     Head {
-        /// Which part of the head.
+        /// Invalid part of the head.
         part: &'static str,
     },
 }
 
-/// A request that another node relayed.
-pub(super) struct Relayed {
+/// Decoded request that another node relayed.
+pub(super) struct RelayedParts {
     pub(super) parts: Parts,
     pub(super) body: Bytes,
     pub(super) sent_length: bool,
 }
 
-/// Encodes a request for other nodes.
+/// Encodes a request for relaying to other nodes.
 pub(super) fn encode(
     parts: &Parts,
     body: &Bytes,
@@ -56,8 +56,8 @@
     frame::encode(&request).map(SharedBytes::from)
 }
 
-/// Decodes what another node encoded.
-pub(super) fn decode(relayed: &SharedBytes) -> Result<Relayed, RelayError> {
+/// Decodes a relayed request, see [`encode`].
+pub(super) fn decode(relayed: &SharedBytes) -> Result<RelayedParts, RelayError> {
     let request: RelayedRequest = frame::decode(relayed.as_slice()).context(DecodeSnafu)?;
     let mut head = Request::new(());
     *head.method_mut() = Method::from_bytes(request.method.as_bytes())
@@ -76,7 +76,7 @@
         head.headers_mut().append(name, value);
     }
     let (parts, ()) = head.into_parts();
-    Ok(Relayed {
+    Ok(RelayedParts {
         parts,
         body: Bytes::copy_from_slice(request.body.as_slice()),
         sent_length: request.sent_length,
--- a/crates/thornbridge-node/src/gateway/relaying/tests.rs
+++ b/crates/thornbridge-node/src/gateway/relaying/tests.rs
@@ -4,7 +4,7 @@
 use thornbridge_proto::byte_string::SharedBytes;
 
 #[test]
-fn a_request_comes_out_as_it_went_in() {
+fn decoded_request_equals_encoded_request() {
     let request = Request::builder()
         .method("REPORT")
         .uri("/a%2Fb/c?d=e&f=%00")
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_request_are_refused() {
+fn malformed_bytes_are_rejected() {
     for bytes in [&b""[..], b"\x93", b"GET / HTTP/1.1"] {
         assert!(decode(&SharedBytes::from(bytes.to_vec())).is_err());
     }
--- a/crates/thornbridge-node/src/gateway/server_reply.rs
+++ b/crates/thornbridge-node/src/gateway/server_reply.rs
@@ -1,6 +1,6 @@
-//! From a server's HTTP response to a typed reply.
+//! Conversion of a server's HTTP response to a [`ServerReply`].
 
-use super::headers::{WireNames, closes, keep_alive_seconds, strip};
+use super::headers::{WireNames, has_connection_close, keep_alive_seconds, strip_hop_by_hop};
 use crate::back_ends::reply::collect;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -9,28 +9,29 @@
 use std::time::Duration;
 use thornbridge_core::gateway::{ExchangeFailure, ReplyVerdict, ServerLoad, ServerReply};
 
-/// Largest body of a server that is taken.
-const BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum size of a server's response body.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads a whole reply to the request of this identity.
+/// Reads the reply to the request with id `request_id`, body included.
 pub(super) async fn read(
     names: &WireNames,
-    id: &HeaderValue,
+    request_id: &HeaderValue,
     response: Response<Incoming>,
 ) -> Result<ServerReply, ExchangeFailure> {
     let (parts, body) = response.into_parts();
-    let body = collect(body, BODY_BYTES)
+    let body = collect(body, MAX_BODY_BYTES)
         .await
         .map_err(|_| ExchangeFailure::MayHaveRun)?;
     let mut headers = parts.headers;
-    let framed = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
-    let whole_by_length = parts.version == Version::HTTP_11 && framed;
-    let verdict = verdict(names, id, parts.status, &headers);
-    let reusable = whole_by_length && !closes(&headers) && verdict != ReplyVerdict::Invalid;
+    let has_framing =
+        headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
+    let delimited = parts.version == Version::HTTP_11 && has_framing;
+    let verdict = classify(names, request_id, parts.status, &headers);
+    let reusable = delimited && !has_connection_close(&headers) && verdict != ReplyVerdict::Invalid;
     let keep_alive = keep_alive_seconds(&headers).map(Duration::from_secs);
-    let load = load_of(names, &headers);
-    let signature = signature_of(names, &headers);
-    strip(&mut headers);
+    let load = parse_load(names, &headers);
+    let signature = signature_value(names, &headers);
+    strip_hop_by_hop(&mut headers);
     Ok(ServerReply {
         status: parts.status.as_u16(),
         headers,
@@ -43,17 +44,17 @@
     })
 }
 
-fn verdict(
+fn classify(
     names: &WireNames,
-    id: &HeaderValue,
+    request_id: &HeaderValue,
     status: StatusCode,
     headers: &HeaderMap,
 ) -> ReplyVerdict {
-    // A surplus answer of an earlier request may stand where this one's is due.
-    let foreign = headers
+    // A surplus response to an earlier request may arrive in place of the expected one.
+    let id_differs = headers
         .get(&names.request_id)
-        .is_some_and(|echoed| echoed != id);
-    if foreign || headers.contains_key(CONTENT_ENCODING) {
+        .is_some_and(|echoed| echoed != request_id);
+    if id_differs || headers.contains_key(CONTENT_ENCODING) {
         return ReplyVerdict::Invalid;
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -68,12 +69,12 @@
     ReplyVerdict::Answer
 }
 
-fn signature_of(names: &WireNames, headers: &HeaderMap) -> Option<Bytes> {
+fn signature_value(names: &WireNames, headers: &HeaderMap) -> Option<Bytes> {
     let value = headers.get(&names.signature)?;
     Some(Bytes::copy_from_slice(value.as_bytes()))
 }
 
-fn load_of(names: &WireNames, headers: &HeaderMap) -> Option<ServerLoad> {
+fn parse_load(names: &WireNames, headers: &HeaderMap) -> Option<ServerLoad> {
     let value = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = value.split(',').map(|number| number.trim().parse().ok());
     Some(ServerLoad {
--- a/crates/thornbridge-node/src/gateway/settings.rs
+++ b/crates/thornbridge-node/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway's process is given.
+//! Settings of a gateway process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,32 +6,32 @@
 use thornbridge_core::gateway::{GatewayParameters, Placement};
 use thornbridge_proto::NodeName;
 
-/// Settings of a gateway's process.
+/// Settings of a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Operator's name for the node.
+    /// Name of the node, chosen by its operator.
     pub name: NodeName,
-    /// Where it stands.
+    /// Location of the node.
     pub placement: Placement,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub caller_address: SocketAddr,
-    /// Where readiness is told.
+    /// Address of the readiness endpoint.
     pub readiness_address: SocketAddr,
-    /// Where peers are served; the same that peers are told.
+    /// Address on which peers are served; also advertised to peers.
     pub peer_address: SocketAddr,
-    /// Where metrics are served, and at which path.
+    /// Address of the metrics endpoint; `None` disables metrics.
     pub metrics_address: Option<SocketAddr>,
-    /// Peers to join through.
+    /// Peers that are contacted first, to join the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Key by which peers know each other.
+    /// Key with which peers authenticate each other.
     pub cluster_key: ClusterKey,
-    /// Tunable values of the core.
+    /// Tunables of the core.
     pub parameters: GatewayParameters,
-    /// Time that a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub stop_grace: Duration,
-    /// Most descriptors that connections may use.
+    /// Maximum number of caller connections.
     pub connections: usize,
 }
 
-/// Reads the settings anew, as after a signal; the error names everything that is wrong.
+/// Reads the settings again, for a reload. The error lists all problems found.
 pub type ReadSettings = Box<dyn Fn() -> Result<GatewaySettings, String> + Send>;
--- a/crates/thornbridge-node/src/gateway/store.rs
+++ b/crates/thornbridge-node/src/gateway/store.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's store: one kept connection for each view, one call at a time on it.
+//! Client of the platform's store. Keeps one idle connection for each view.
 
 use super::driver::GatewayInput;
 use crate::sockets;
@@ -17,18 +17,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// Time for the store to acknowledge sent bytes before the connection is closed.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a platform's store speaks.
+/// HTTP protocol of a platform's store.
 pub trait StoreProtocol: Send + Sync + 'static {
-    /// Where the store is.
+    /// Address of the store.
     fn address(&self) -> SocketAddr;
-    /// The call for a read.
+    /// Builds the request for a read.
     fn request(&self, kind: ViewKind, read: &SourceRead) -> Request<Full<Bytes>>;
-    /// What the head of its answer says of its era.
+    /// Parses the era in a response's headers.
     fn era(&self, headers: &HeaderMap) -> ReportedEra;
-    /// What its answer says.
+    /// Parses a response to a read.
     fn reply(
         &self,
         kind: ViewKind,
@@ -38,13 +38,13 @@
     ) -> Result<SourceReply, SourceFailure>;
 }
 
-type Kept = Arc<Mutex<BTreeMap<ViewKind, SendRequest<Full<Bytes>>>>>;
+type IdleConnections = Arc<Mutex<BTreeMap<ViewKind, SendRequest<Full<Bytes>>>>>;
 
-/// The client of the store.
+/// Client of the store. Clones share connections and era.
 #[derive(Clone)]
 pub(super) struct StoreClient {
     protocol: Arc<dyn StoreProtocol>,
-    kept: Kept,
+    idle: IdleConnections,
     era: Arc<Mutex<EraTracker>>,
     inputs: mpsc::Sender<GatewayInput>,
 }
@@ -56,17 +56,17 @@
     ) -> Self {
         Self {
             protocol,
-            kept: Kept::default(),
+            idle: IdleConnections::default(),
             era: Arc::default(),
             inputs,
         }
     }
 
-    /// Makes a call; its answer comes as an input.
-    pub(super) fn start(&self, kind: ViewKind, read: u64, what: SourceRead, timeout: Duration) {
+    /// Starts a read; its result is sent to the driver as [`GatewayEvent::SourceReplied`].
+    pub(super) fn start(&self, kind: ViewKind, read: u64, query: SourceRead, timeout: Duration) {
         let client = self.clone();
         tokio::spawn(async move {
-            let call = client.call(kind, &what);
+            let call = client.call(kind, &query);
             let result = match tokio::time::timeout(timeout, call).await {
                 Ok(result) => result,
                 Err(_) => Err(SourceFailure::Unreachable),
@@ -79,37 +79,42 @@
         });
     }
 
-    async fn call(&self, kind: ViewKind, what: &SourceRead) -> Result<SourceReply, SourceFailure> {
-        let mut sender = match self.take(kind) {
+    async fn call(&self, kind: ViewKind, query: &SourceRead) -> Result<SourceReply, SourceFailure> {
+        let mut sender = match self.take_idle(kind) {
             Some(sender) => sender,
             None => self.connect().await?,
         };
-        let request = self.protocol.request(kind, what);
+        let request = self.protocol.request(kind, query);
         let response = sender.send_request(request).await;
         let response = response.map_err(|_| SourceFailure::Unreachable)?;
         let status = response.status();
-        let told = self.protocol.era(response.headers());
+        let reported = self.protocol.era(response.headers());
         let body = response.into_body().collect().await;
         let body = body.map_err(|_| SourceFailure::Unreachable)?.to_bytes();
-        // The connection is kept only after a whole answer: one that lost an answer is silent.
-        self.keep(kind, sender);
-        let era = self.take_era(kind, &told)?;
-        let reply = self.protocol.reply(kind, what, status, &body)?;
+        // Keep the connection only after a complete response: after a timeout, it may be dead.
+        self.put_idle(kind, sender);
+        let era = self.observe_era(kind, &reported)?;
+        let reply = self.protocol.reply(kind, query, status, &body)?;
         Ok(reply.in_era(era))
     }
 
-    /// The era that an answer belongs to.
-    fn take_era(&self, kind: ViewKind, told: &ReportedEra) -> Result<u64, SourceFailure> {
+    /// Returns the era that a response belongs to; fails for one older than the current era.
+    fn observe_era(&self, kind: ViewKind, reported: &ReportedEra) -> Result<u64, SourceFailure> {
         let mut tracker = self.era.lock().unwrap_or_else(PoisonError::into_inner);
-        match tracker.observe(told) {
+        match tracker.observe(reported) {
             Ok((era, believed)) => {
                 if !believed {
-                    log::warn!(view = kind.as_str(), told:? = told, era = era; "store era ignored");
+                    log::warn!(
+                        view = kind.as_str(),
+                        told:? = reported,
+                        era = era;
+                        "store era ignored"
+                    );
                 }
                 Ok(era)
             }
-            Err(ended) => {
-                log::warn!(view = kind.as_str(), error:% = ended; "store answer dropped");
+            Err(stale) => {
+                log::warn!(view = kind.as_str(), error:% = stale; "store answer dropped");
                 Err(SourceFailure::StaleEra)
             }
         }
@@ -118,23 +123,23 @@
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, SourceFailure> {
         let connecting = TcpStream::connect(self.protocol.address());
         let stream = connecting.await.map_err(|_| SourceFailure::Unreachable)?;
-        sockets::prepare(&stream, UNACKNOWLEDGED);
+        sockets::prepare(&stream, TCP_USER_TIMEOUT);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| SourceFailure::Unreachable)?;
         tokio::spawn(async move {
-            // Its end shows in the next call.
+            // The next call notices a closed connection.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    fn take(&self, kind: ViewKind) -> Option<SendRequest<Full<Bytes>>> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.remove(&kind).filter(|sender| !sender.is_closed())
+    fn take_idle(&self, kind: ViewKind) -> Option<SendRequest<Full<Bytes>>> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.remove(&kind).filter(|sender| !sender.is_closed())
     }
 
-    fn keep(&self, kind: ViewKind, sender: SendRequest<Full<Bytes>>) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.insert(kind, sender);
+    fn put_idle(&self, kind: ViewKind, sender: SendRequest<Full<Bytes>>) {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.insert(kind, sender);
     }
 }
