--- a/crates/thornbridge-core/src/routing/attempts.rs
+++ b/crates/thornbridge-core/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that were handed over and have not ended.
+//! Attempts that were dispatched and have not ended.
 
 use super::AttemptOwner;
 use super::back_end::BackEndIndex;
@@ -9,29 +9,29 @@
 use thornbridge_proto::AttemptId;
 use thornbridge_proto::back_end::Attempt;
 
-/// One attempt.
 #[derive(Debug)]
 pub(super) struct PendingAttempt {
     pub(super) owner: AttemptOwner,
     pub(super) attempt: Attempt,
     pub(super) back_end: BackEndIndex,
     pub(super) dispatched_at: Timestamp,
-    /// When its time left is over.
+    /// Deadline for the reply, from the attempt's remaining time at dispatch.
     pub(super) deadline: Timestamp,
-    /// Connection it runs on and the time it was sent; absent while it waits for one.
+    /// Connection and time of sending; `None` while the attempt waits for a connection.
     pub(super) sent: Option<(ConnectionId, Timestamp)>,
-    /// Its owner gave it up.
+    /// Cancelled by its owner.
     pub(super) cancelled: bool,
-    /// It was already moved from a connection that broke before any byte left.
+    /// Already moved once to another connection of the back end.
     pub(super) moved: bool,
 }
 
-/// All attempts by their identity.
+/// Table of attempts.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
     by_id: LookupMap<AttemptId, PendingAttempt>,
     waiting_deadlines: BTreeSet<(Timestamp, AttemptId)>,
-    /// Cancelled ones that still occupy a connection, in order of the time they are awaited to.
+    /// Cancelled attempts that still occupy a connection, with the end of their grace period, in
+    /// order of that time.
     cancelled: VecDeque<(Timestamp, AttemptId)>,
     last_id: u64,
 }
@@ -54,26 +54,26 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Takes in an attempt that is sent at once.
+    /// Adds an attempt that does not wait for a connection.
     pub(super) fn insert(&mut self, pending: PendingAttempt) {
         self.by_id.insert(pending.attempt.attempt, pending);
     }
 
-    /// The attempt begins to wait for a connection.
+    /// Marks an attempt as waiting for a connection.
     pub(super) fn begin_waiting(&mut self, id: AttemptId) {
         if let Some(pending) = self.by_id.get(&id) {
             self.waiting_deadlines.insert((pending.deadline, id));
         }
     }
 
-    /// The attempt no longer waits.
+    /// Marks an attempt as no longer waiting.
     pub(super) fn end_waiting(&mut self, id: AttemptId) {
         if let Some(pending) = self.by_id.get(&id) {
             self.waiting_deadlines.remove(&(pending.deadline, id));
         }
     }
 
-    /// The attempt ended.
+    /// Removes an attempt that ended.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<PendingAttempt> {
         let pending = self.by_id.remove(&id)?;
         if pending.sent.is_none() {
@@ -82,18 +82,18 @@
         Some(pending)
     }
 
-    /// The attempt was cancelled; its connection is given up at `expires_at`.
+    /// Records the cancellation of an attempt that was sent; its grace period ends at `expires_at`.
     pub(super) fn record_cancellation(&mut self, id: AttemptId, expires_at: Timestamp) {
         self.cancelled.push_back((expires_at, id));
     }
 
-    /// A waiting attempt whose time is over.
+    /// First waiting attempt whose deadline has passed.
     pub(super) fn next_expired(&self, now: Timestamp) -> Option<AttemptId> {
         let (deadline, id) = self.waiting_deadlines.first()?;
         (*deadline <= now).then_some(*id)
     }
 
-    /// A cancelled attempt whose reply is overdue.
+    /// Removes and returns a cancelled attempt without a reply at the end of its grace period.
     pub(super) fn next_unanswered_cancellation(&mut self, now: Timestamp) -> Option<AttemptId> {
         self.remove_ended();
         let (expires_at, id) = *self.cancelled.front()?;
@@ -110,7 +110,7 @@
         [expiry, overdue].into_iter().flatten().min()
     }
 
-    /// Forgets cancelled attempts at the front that have ended meanwhile.
+    /// Removes attempts that have ended from the front of the cancelled ones.
     pub(super) fn remove_ended(&mut self) {
         while let Some((_, id)) = self.cancelled.front() {
             if self.by_id.contains_key(id) {
--- a/crates/thornbridge-core/src/routing/back_end.rs
+++ b/crates/thornbridge-core/src/routing/back_end.rs
@@ -1,4 +1,4 @@
-//! What the router keeps for each back end, and the table of them.
+//! State of each back end, and the table of back ends and services.
 
 use super::back_end_limit::BackEndLimit;
 use super::connections::Pool;
@@ -13,26 +13,26 @@
 use thornbridge_config::bundle::{BackEnd, Bundle};
 use thornbridge_proto::{BackEndId, ServiceName};
 
-/// Position of a back end in the table. Stable while the back end is there.
+/// Index of a back end in the table. Stable while the back end is in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct BackEndIndex(pub(super) u32);
 
-/// Position of a service in the table.
+/// Index of a service in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ServiceIndex(pub(super) u32);
 
-/// One back end.
+/// State of one back end.
 #[derive(Debug)]
 pub(super) struct BackEndState {
     pub(super) id: BackEndId,
     pub(super) address: SocketAddr,
     pub(super) service: ServiceIndex,
     pub(super) slots: f32,
-    /// In the configuration in force. Where not, it only finishes what it has.
+    /// In the active configuration. A back end that is not is only drained.
     pub(super) configured: bool,
-    /// Connections this node may have to it; 0 outside the subset.
+    /// Maximum connections of this node to the back end; 0 outside the subset.
     pub(super) connection_share: u32,
-    /// Attempts handed over and not ended, cancelled ones included.
+    /// Attempts dispatched and not ended, cancelled ones included.
     pub(super) in_flight: u32,
     pub(super) pool: Pool,
     pub(super) load: ReportedLoad,
@@ -41,17 +41,17 @@
     pub(super) slow_start: SlowStart,
     pub(super) outlier: OutlierState,
     pub(super) limit: BackEndLimit,
-    /// Shards it holds, as positions among the table's groups.
+    /// Replica groups of which the back end is a member, as indices into the table's groups.
     pub(super) groups: Vec<u32>,
 }
 
 impl BackEndState {
-    /// Whether it may get anything new.
+    /// Whether new attempts may be sent to the back end.
     pub(super) fn takes_new_work(&self) -> bool {
         self.configured && self.connection_share > 0 && !self.health.is_leaving()
     }
 
-    /// Whether it is a plain choice: takes work, reachable, not ejected.
+    /// Whether the back end takes new work, is reachable and is not ejected.
     pub(super) fn is_healthy(&self) -> bool {
         self.takes_new_work()
             && !self.health.is_unreachable()
@@ -59,30 +59,30 @@
             && !self.outlier.is_ejected()
     }
 
-    /// Nothing of it is left to finish.
+    /// Whether no attempt and no connection is left.
     pub(super) fn is_drained(&self) -> bool {
         self.in_flight == 0 && self.pool.open() == 0
     }
 }
 
-/// A service, as far as routing cares.
+/// Routing state of a service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
     pub(super) name: ServiceName,
-    /// Latency over all of its back ends.
+    /// Latency over all back ends of the service.
     pub(super) latency: LatencyEstimate,
-    /// Its back ends in the configuration in force.
+    /// Back ends of the service in the active configuration.
     pub(super) back_ends: Vec<BackEndIndex>,
 }
 
-/// All back ends and services.
+/// Table of back ends and services.
 #[derive(Debug, Default)]
 pub(super) struct BackEndTable {
     entries: Vec<Option<BackEndState>>,
     by_id: LookupMap<BackEndId, BackEndIndex>,
     free_indices: Vec<BackEndIndex>,
     pub(super) services: Vec<ServiceState>,
-    /// Replicas of each shard of each layout.
+    /// Replica groups: the replicas of each shard of each layout.
     pub(super) groups: Vec<Vec<BackEndIndex>>,
 }
 
@@ -111,7 +111,7 @@
         self.entries.iter().flatten()
     }
 
-    /// Logarithm of the usual latency of a service.
+    /// Log2 of the mean latency of a service in µs.
     pub(super) fn baseline_log2_us(&self, service: ServiceIndex) -> Option<f32> {
         self.services
             .get(service.0 as usize)?
@@ -129,7 +129,7 @@
         index
     }
 
-    /// Forgets a back end that is no longer configured once nothing of it is left.
+    /// Removes a back end that is no longer configured and is drained.
     pub(super) fn remove_if_drained(&mut self, index: BackEndIndex) {
         let removable = self
             .get(index)
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes the services and shards of a bundle whose back ends are all in the table.
+    /// Sets services and replica groups from a bundle whose back ends are all in the table.
     pub(super) fn set_services(&mut self, bundle: &Bundle) {
         let mut old = std::mem::take(&mut self.services);
         for service in &bundle.services {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// What is to be connected by this bundle, with the table's positions of its servers.
-    /// Independent of this node's history, so that every node computes the same from it.
+    /// Topology of a bundle, and the table index of each of its servers. Does not depend on this
+    /// node's history, so that every node computes the same assignment from it.
     pub(super) fn topology(&self, bundle: &Bundle) -> (Topology, Vec<BackEndIndex>) {
         let mut topology = Topology::default();
         let mut indices = Vec::new();
--- a/crates/thornbridge-core/src/routing/back_end_limit.rs
+++ b/crates/thornbridge-core/src/routing/back_end_limit.rs
@@ -1,23 +1,24 @@
 //! Adaptive limit on this node's attempts at one back end: additive increase, multiplicative
-//! decrease (D. Chiu and R. Jain, 1989), driven by what the back end sheds.
+//! decrease (D. Chiu and R. Jain, 1989). Shed attempts decrease the limit.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values.
+/// Parameters of the limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BackEndLimitParameters {
-    /// Limit before anything was shed.
+    /// Initial and maximum limit.
     pub initial: f32,
     /// Factor of a decrease.
     pub decrease: f32,
-    /// Shortest time between two decreases: replies to attempts sent before the first one say nothing new.
+    /// Minimum time between two decreases. Attempts sent before a decrease may still be shed after
+    /// it.
     pub decrease_interval: Duration,
-    /// Increase by one useful reply, divided by the limit: about this much per round trip.
+    /// Increase for each successful reply, divided by the limit: about this much per round trip.
     pub increase: f32,
-    /// Longest time for which a back end that shed is passed over where there is another.
+    /// Maximum time for which a back end is deprioritized after it shed an attempt.
     pub longest_pause: Duration,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The limit of one back end.
+/// Limit of one back end.
 #[derive(Clone, Debug)]
 pub(super) struct BackEndLimit {
     limit: f32,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The back end shed an attempt while `in_flight` were there.
+    /// Records that the back end shed an attempt with `in_flight` attempts at it.
     pub(super) fn record_shed(
         &mut self,
         parameters: &BackEndLimitParameters,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A useful reply came.
+    /// Records a successful reply.
     pub(super) fn record_success(&mut self, parameters: &BackEndLimitParameters) {
         if self.limit < self.maximum {
             let raised = self.limit + parameters.increase / self.limit;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether another attempt is welcome.
+    /// Whether another attempt stays within the limit and no pause is in effect.
     pub(super) fn has_capacity(&self, now: Timestamp, in_flight: u32) -> bool {
         (in_flight as f32) < self.limit && now >= self.paused_until
     }
--- a/crates/thornbridge-core/src/routing/balancer.rs
+++ b/crates/thornbridge-core/src/routing/balancer.rs
@@ -1,49 +1,47 @@
-//! Which of several usable back ends gets an attempt.
+//! Load balancing among the candidates for an attempt.
 //!
-//! The combined policy draws a few at random (M. Mitzenmacher, "The Power of Two Choices in
-//! Randomized Load Balancing", 2001) and compares an expected cost: latency, raised by the cube
-//! of the load, as in L. Suresh et al., "C3: Cutting Tail Latency in Cloud Data Stores via
-//! Adaptive Replica Selection", NSDI 2015. Load is this node's own attempts in flight plus what
-//! the back end reports of others, fading with age. As in B. Wydrowski et al., "Load is not what
-//! you should balance: Introducing Prequal", NSDI 2024, latencies that hardly differ do not
-//! decide; there, load does.
+//! The combined policy samples a few candidates (M. Mitzenmacher, "The Power of Two Choices in
+//! Randomized Load Balancing", 2001) and compares their expected cost: latency multiplied by the
+//! cube of the load, as in L. Suresh et al., "C3: Cutting Tail Latency in Cloud Data Stores via
+//! Adaptive Replica Selection", NSDI 2015. Load is the number of this node's attempts in flight
+//! plus the reported load of other nodes, which decays with age. Candidates of similar cost are
+//! compared by load, as in B. Wydrowski et al., "Load is not what you should balance: Introducing
+//! Prequal", NSDI 2024.
 //!
-//! A report alone never wins: where this node's own knowledge does not support it, it only tilts
-//! the odds, so a back end that understates its load gains a bounded share.
+//! A load report that this node's own observations do not confirm decides with a bounded
+//! probability only, so that a back end that understates its load attracts a bounded share of the
+//! attempts.
 
 use super::back_end::BackEndIndex;
 use super::latency::approximate_log2;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// How back ends are compared.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BalancerPolicy {
-    /// Any, with equal chances. The baseline.
+    /// Uniformly random.
     Random,
-    /// Of a few drawn at random (two with `choices = 2`), the one with fewer own attempts in
-    /// flight.
+    /// Fewest own attempts in flight among a few candidates chosen at random.
     PowerOfTwo,
-    /// Of a few drawn at random, the one with the lower expected cost.
+    /// Lowest expected cost among a few candidates chosen at random.
     #[default]
     Combined,
 }
 
-/// Tunable values.
+/// Parameters of load balancing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BalancerParameters {
-    /// How back ends are compared.
+    /// Load balancing policy.
     pub policy: BalancerPolicy,
-    /// Back ends drawn at random and compared. More than two, since most of what is compared is
-    /// this node's own and never stale; not all of a large service, since each costs some time.
+    /// Candidates that are chosen at random and compared.
     pub choices: u32,
-    /// Ratio of two costs up to which they count as equal and load decides: measured latencies
-    /// are noisy.
+    /// Ratio of two costs up to which they count as equal and load decides.
     pub tolerance: f32,
-    /// Chance that a report decides where own knowledge does not agree with it. Between 0.5,
-    /// where reports are not heard, and 1, where a false one attracts everything.
+    /// Probability that a load report decides where own observations disagree with it, from 0.5
+    /// (reports have no effect) to 1 (reports always decide).
     pub report_trust: f32,
 }
 
@@ -58,20 +56,20 @@
     }
 }
 
-/// What the comparison looks at.
+/// Back end as seen by the load balancer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) back_end: BackEndIndex,
-    /// Own attempts in flight.
+    /// This node's attempts in flight.
     pub(super) own_in_flight: f32,
-    /// Work of others, as reported and aged.
+    /// Load of other nodes, decayed with the age of the report.
     pub(super) others_load: f32,
     pub(super) slots: f32,
-    /// Logarithm to base 2 of the expected latency; absent where nothing is known.
+    /// Log2 of the expected latency in µs; `None` if unknown.
     pub(super) latency_log2_us: Option<f32>,
 }
 
-/// Picks one. `candidates` is not empty.
+/// Chooses one of the candidates, of which there must be at least one.
 pub(super) fn pick(
     parameters: &BalancerParameters,
     random: &mut impl Rng,
@@ -87,7 +85,7 @@
     let mut best = draw(random, candidates, 0);
     for position in 1..drawn {
         let next = draw(random, candidates, position);
-        // The draw is already in random order: the first wins where nothing decides.
+        // Candidates are in random order, so keeping the first one breaks ties at random.
         best = match parameters.policy {
             BalancerPolicy::PowerOfTwo if next.own_in_flight < best.own_in_flight => next,
             BalancerPolicy::Combined => compare(parameters, random, &best, &next),
@@ -97,7 +95,7 @@
     best.back_end
 }
 
-/// The next of a random order (Fisher and Yates): swaps it to its position.
+/// One step of a Fisher-Yates shuffle: swaps a random remaining candidate to `position`.
 fn draw(random: &mut impl Rng, candidates: &mut [Candidate], position: usize) -> Candidate {
     let other = random.random_range(position..candidates.len());
     candidates.swap(position, other);
@@ -131,8 +129,8 @@
     }
 }
 
-/// What to do when a report is not trusted: own knowledge where it says something, else the
-/// other one of the two.
+/// Preference when a report is not trusted: by own observations, or against the report if these
+/// have no preference.
 fn discount_report(own: Preference, reported: Preference) -> Preference {
     match (own, reported) {
         (Preference::Equal, Preference::First) => Preference::Second,
@@ -141,7 +139,7 @@
     }
 }
 
-/// Which is better: by cost where that differs enough, else by load.
+/// Compares by cost if the costs differ by more than the tolerance, else by load.
 fn preference(
     parameters: &BalancerParameters,
     first: &Candidate,
@@ -171,7 +169,7 @@
     }
 }
 
-/// Logarithm of the expected latency with one attempt more.
+/// Log2 of the expected cost of one more attempt.
 fn log2_cost(candidate: &Candidate, others_load: f32) -> f32 {
     let load = (candidate.own_in_flight + others_load + 1.0) / candidate.slots.max(1.0);
     candidate.latency_log2_us.unwrap_or(0.0) + approximate_log2(1.0 + load * load * load)
--- a/crates/thornbridge-core/src/routing/choosing.rs
+++ b/crates/thornbridge-core/src/routing/choosing.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica, and what is known of replicas for those who plan.
+//! Choice of a replica, and queries for the state of back ends.
 
 use super::back_end::{BackEndIndex, BackEndState};
 use super::balancer::{self, Candidate};
@@ -12,14 +12,14 @@
 use thornbridge_proto::back_end::Readiness;
 use thornbridge_proto::{BackEndId, SnapshotId};
 
-/// How good a choice a back end is; less is better.
+/// Tier of a candidate: only candidates of the lowest tier present are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CandidateTier {
-    /// Nothing speaks against it.
+    /// Without restriction.
     Preferred,
-    /// Better left alone if another can do it: starting slowly, at its limit, has just shed.
+    /// In slow start, at its limit, or paused after shedding.
     Deprioritized,
-    /// Ejected, or a peer cannot reach it: only where there is nothing else.
+    /// Ejected, or reported unreachable by a peer.
     LastResort,
 }
 
@@ -58,15 +58,14 @@
         Ok(state.id.clone())
     }
 
-    /// The latency that this share (0 to 1) of the recent attempts at a back end stayed under;
-    /// absent where too few are known.
+    /// Quantile (0 to 1) of the recent latencies of a back end; `None` with too few samples.
     pub fn latency_of(&self, back_end: &BackEndId, quantile: f64) -> Option<Duration> {
         let state = self.back_ends.get_by_id(back_end)?;
         state.latency.quantile(&self.parameters.latency, quantile)
     }
 
-    /// The least of the replicas' latencies at this share (0 to 1): what a good replica of the
-    /// shard can be expected to keep. The service's own where too little is known of each.
+    /// Lowest quantile (0 to 1) of the recent latencies among the healthy replicas. Falls back to
+    /// the quantile of the service when no replica has enough samples.
     pub fn expected_latency(&self, replicas: &[BackEndId], quantile: f64) -> Option<Duration> {
         let parameters = &self.parameters.latency;
         let known = replicas
@@ -84,33 +83,33 @@
         })
     }
 
-    /// Mean latency of a back end as it is believed now, the basis of ranking.
+    /// Estimated mean latency of a back end, as used by the load balancer.
     pub fn mean_latency_of(&self, now: Timestamp, back_end: &BackEndId) -> Option<Duration> {
         let state = self.back_ends.get_by_id(back_end)?;
         self.decayed_latency_log2_us(now, state)
             .map(duration_from_log2_us)
     }
 
-    /// Attempts of this node at a back end.
+    /// This node's attempts in flight at a back end.
     pub fn in_flight_at(&self, back_end: &BackEndId) -> u32 {
         self.back_ends
             .get_by_id(back_end)
             .map_or(0, |state| state.in_flight)
     }
 
-    /// Whether a back end could be chosen now without doubt.
+    /// Whether a back end takes new work, is reachable and is not ejected.
     pub fn is_healthy(&self, back_end: &BackEndId) -> bool {
         self.back_ends
             .get_by_id(back_end)
             .is_some_and(BackEndState::is_healthy)
     }
 
-    /// Snapshots that a back end said it holds, newest first; absent where unknown.
+    /// Snapshots that a back end reported, newest first; `None` if unknown.
     pub fn snapshots_of(&self, back_end: &BackEndId) -> Option<&[SnapshotId]> {
         self.back_ends.get_by_id(back_end)?.health.snapshots()
     }
 
-    /// Back ends that are not plainly usable, by identity.
+    /// Configured back ends with a restriction on their use, sorted by id.
     pub fn back_end_status(&self) -> Vec<BackEndStatus> {
         let mut statuses: Vec<BackEndStatus> = self
             .back_ends
--- a/crates/thornbridge-core/src/routing/connecting.rs
+++ b/crates/thornbridge-core/src/routing/connecting.rs
@@ -1,4 +1,4 @@
-//! Opening, keeping and closing connections.
+//! Opening, reusing and closing connections.
 
 use super::Router;
 use super::back_end::BackEndIndex;
@@ -8,7 +8,7 @@
 use crate::event::AttemptFailure;
 
 impl Router {
-    /// A connection is open.
+    /// Handles an opened connection.
     pub fn connection_opened(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
         let Some(tracked) = self.connections.get(connection) else {
             return;
@@ -27,8 +27,8 @@
         self.back_ends.remove_if_drained(tracked.back_end);
     }
 
-    /// A connection was lost, or could not be opened. Attempts that wait stay where another
-    /// connection can still serve them; else they end, and [`Self::poll_finished`] gives them.
+    /// Handles a connection that was lost or could not be opened. If the back end has no other
+    /// connection, its waiting attempts fail and are returned by [`Self::poll_finished`].
     pub fn connection_lost(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
         let Some(lost) = self.remove_connection(connection) else {
             return;
@@ -39,7 +39,8 @@
             ConnectionState::Idle => self.counters.connections_lost += 1,
             ConnectionState::Busy(attempt) => {
                 self.counters.connections_lost += 1;
-                // The driver reports the attempt first; this is for one that does not.
+                // Drivers report a lost connection's attempt as failed first; a driver may omit
+                // that.
                 let broken = AttemptFailure::ConnectionBroken;
                 let finished = self.failed(context, attempt, broken);
                 self.finished.extend(finished);
@@ -50,7 +51,7 @@
         self.back_ends.remove_if_drained(lost.back_end);
     }
 
-    /// Opens connections for attempts that wait, within the share.
+    /// Opens connections for waiting attempts, up to the connection share.
     pub(super) fn open_for_waiting(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let waiting = state.pool.waiting.len() as u32;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Opens connections that are kept without any use, within the share.
+    /// Opens the minimum number of warm connections, up to the connection share.
     pub(super) fn open_warm_connections(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let warm = self.parameters.connections.warm;
         while let Some(state) = self.back_ends.get(index) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A connection that was engaged is free: it takes the next attempt, rests, or is closed.
+    /// Gives a free connection to the next waiting attempt, or makes it idle, or closes it.
     pub(super) fn release(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
         let Some(tracked) = self.connections.get(connection) else {
             return;
@@ -95,7 +96,7 @@
             .set_state(connection, ConnectionState::Idle);
     }
 
-    /// An idle connection, already taken out of the idle ones, is put to use.
+    /// Marks a connection that was removed from the idle ones as in use.
     pub(super) fn mark_in_use(&mut self, index: BackEndIndex, connection: ConnectionId) {
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.in_use.push(connection);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Closes a connection whatever its state.
+    /// Closes a connection in any state.
     pub(super) fn close(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
         if self.remove_connection(connection).is_some() {
             self.counters.connections_closed += 1;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Closes idle connections above what the back end may keep.
+    /// Closes idle connections above the connection share.
     pub(super) fn close_surplus(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let kept = if state.takes_new_work() {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Closes idle connections to a former address and marks the others to follow.
+    /// Closes idle connections to a previous address; the others are closed when they become free.
     pub(super) fn retire_connections(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(state) = self.back_ends.get(index) else {
             return;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Ends waiting attempts where no connection is open or being opened.
+    /// Fails waiting attempts if no connection is open or being opened.
     pub(super) fn fail_waiting_if_unconnected(
         &mut self,
         context: &mut Context<'_>,
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Takes a connection out of the books.
+    /// Removes a connection from the table and from its pool.
     fn remove_connection(&mut self, connection: ConnectionId) -> Option<Connection> {
         let tracked = self.connections.remove(connection)?;
         if let Some(state) = self.back_ends.get_mut(tracked.back_end) {
--- a/crates/thornbridge-core/src/routing/connections.rs
+++ b/crates/thornbridge-core/src/routing/connections.rs
@@ -1,7 +1,8 @@
-//! Connections to back ends: a pool for each, never above its share.
+//! Connection pools of back ends.
 //!
-//! One connection carries one attempt at a time. Connections are kept warm, as a new one costs
-//! about a millisecond; idle ones beyond recent use are closed slowly.
+//! A connection carries one attempt at a time. Each pool is bounded by the back end's connection
+//! share. Some connections are kept warm, since opening one delays an attempt; idle ones above the
+//! recent peak use are closed one by one.
 
 use super::back_end::BackEndIndex;
 use super::hash::LookupMap;
@@ -13,24 +14,23 @@
 use std::time::Duration;
 use thornbridge_proto::AttemptId;
 
-/// Tunable values.
+/// Parameters of connection pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ConnectionParameters {
-    /// Connections kept open to each back end of the subset without any use.
+    /// Minimum connections kept open to each back end of the subset.
     pub warm: u32,
-    /// First pause after a failure to connect; doubled by each further one.
+    /// First backoff after a failure to connect; doubled by each further failure.
     pub first_backoff: Duration,
-    /// Longest pause.
+    /// Maximum backoff.
     pub longest_backoff: Duration,
-    /// Passes of housekeeping over which the greatest use is remembered before an idle
-    /// connection is closed.
+    /// Housekeeping passes over which the peak use is tracked before idle connections are closed.
     pub idle_passes: u32,
-    /// Time allowed for the reply to a cancelled attempt before its connection is closed.
+    /// Time for the reply to a cancelled attempt, after which its connection is closed.
     pub cancel_grace: Duration,
-    /// Connections opened together when many are to be warmed up.
+    /// Connections opened in one batch when many are to be warmed up.
     pub warm_up_batch: u32,
-    /// Time between two such batches.
+    /// Time between two batches.
     pub warm_up_interval: Duration,
 }
 
@@ -48,7 +48,6 @@
     }
 }
 
-/// State of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
     Opening,
@@ -56,16 +55,15 @@
     Busy(AttemptId),
 }
 
-/// One connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Connection {
     pub(super) back_end: BackEndIndex,
     pub(super) state: ConnectionState,
-    /// Belongs to an address that is no longer configured: closed when it is free.
+    /// Connected to a previous address of the back end; closed when it becomes free.
     pub(super) retired: bool,
 }
 
-/// All connections by their handle.
+/// Table of connections.
 #[derive(Debug, Default)]
 pub(super) struct Connections {
     by_id: LookupMap<ConnectionId, Connection>,
@@ -73,7 +71,7 @@
 }
 
 impl Connections {
-    /// A new connection that is being opened.
+    /// Adds a connection that is being opened.
     pub(super) fn insert_opening(&mut self, back_end: BackEndIndex) -> ConnectionId {
         self.last_id += 1;
         let id = ConnectionId(self.last_id);
@@ -107,35 +105,35 @@
     }
 }
 
-/// Connections of one back end.
+/// Connection pool of one back end.
 #[derive(Debug, Default)]
 pub(super) struct Pool {
-    /// Connections that are not idle: opening or busy.
+    /// Connections that are opening or busy.
     pub(super) in_use: Vec<ConnectionId>,
-    /// Free connections; the last one used is taken first, so that the others can age.
+    /// Idle connections, used last in first out, so that surplus ones stay idle.
     pub(super) idle: Vec<ConnectionId>,
-    /// How many of the engaged ones are still being opened.
+    /// Number of connections in use that are still opening.
     pub(super) opening: u32,
     /// Attempts that wait for a connection, in order of arrival.
     pub(super) waiting: VecDeque<AttemptId>,
-    /// Pause after failures to connect.
+    /// Backoff after failures to connect.
     pub(super) backoff: Backoff,
     peak_in_use: u32,
     housekeeping_passes: u32,
 }
 
 impl Pool {
-    /// Connections that count against the share.
+    /// Connections in any state.
     pub(super) fn open(&self) -> u32 {
         (self.in_use.len() + self.idle.len()) as u32
     }
 
-    /// Connections that are open and work.
+    /// Connections that are idle or busy.
     pub(super) fn established(&self) -> u32 {
         self.open() - self.opening
     }
 
-    /// A connection leaves the engaged ones. True where it was one of them.
+    /// Removes a connection from those in use; returns whether it was one of them.
     pub(super) fn remove_in_use(&mut self, id: ConnectionId) -> bool {
         let position = self.in_use.iter().position(|in_use| *in_use == id);
         if let Some(position) = position {
@@ -144,13 +142,13 @@
         position.is_some()
     }
 
-    /// Notes how many connections are in use.
+    /// Updates the peak number of connections in use.
     pub(super) fn record_use(&mut self) {
         let in_use = self.in_use.len() as u32;
         self.peak_in_use = self.peak_in_use.max(in_use);
     }
 
-    /// One pass of housekeeping: gives an idle connection to close, at most one.
+    /// Runs one housekeeping pass; returns an idle connection to close, if there is a surplus.
     pub(super) fn reap(&mut self, parameters: &ConnectionParameters) -> Option<ConnectionId> {
         self.housekeeping_passes += 1;
         if self.housekeeping_passes < parameters.idle_passes {
@@ -158,7 +156,7 @@
         }
         let kept = self.peak_in_use.max(parameters.warm);
         if self.open() > kept && !self.idle.is_empty() {
-            // The one at the front was used least lately.
+            // The first one has been idle longest.
             return Some(self.idle.remove(0));
         }
         self.housekeeping_passes = 0;
@@ -167,7 +165,7 @@
     }
 }
 
-/// Exponential pause with jitter after failures to connect.
+/// Exponential backoff with jitter after failures to connect.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
@@ -175,18 +173,18 @@
 }
 
 impl Backoff {
-    /// Whether a connection may be tried now.
+    /// Whether a connection may be opened now.
     pub(super) fn allows(&self, now: Timestamp) -> bool {
         self.retry_at.is_none_or(|retry_at| now >= retry_at)
     }
 
-    /// It worked.
+    /// Resets the backoff after a successful connect.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// It did not; gives the time of the next try. Half of the pause is drawn at random, so that
-    /// the nodes do not come back together.
+    /// Records a failure; returns the time of the next attempt to connect. Half of the backoff is
+    /// random, so that nodes do not reconnect at the same time.
     pub(super) fn record_failure(
         &mut self,
         parameters: &ConnectionParameters,
--- a/crates/thornbridge-core/src/routing/dispatching.rs
+++ b/crates/thornbridge-core/src/routing/dispatching.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: handed over, waiting, sent, cancelled, ended.
+//! Lifecycle of attempts: dispatched, waiting for a connection, sent, cancelled, ended.
 
 use super::attempts::PendingAttempt;
 use super::back_end::BackEndIndex;
@@ -12,7 +12,8 @@
 use thornbridge_proto::{AttemptId, BackEndId};
 
 impl Router {
-    /// Sends an attempt, at once or as soon as a connection is free. Its time left runs from now.
+    /// Sends an attempt at once, or when a connection becomes free. The deadline of the attempt is
+    /// now plus its remaining time.
     pub fn dispatch(
         &mut self,
         context: &mut Context<'_>,
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Gives up an attempt; its end is not reported to the owner any more. One that was sent
-    /// keeps its connection, and counts as in flight, until its reply comes.
+    /// Cancels an attempt, which is then not returned as finished. An attempt that was sent
+    /// occupies its connection and counts as in flight until the reply or the end of the grace
+    /// period.
     pub fn cancel(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         let Some(pending) = self
             .attempts
@@ -85,7 +87,7 @@
         }
     }
 
-    /// A reply came.
+    /// Handles a reply to an attempt.
     pub fn replied(
         &mut self,
         context: &mut Context<'_>,
@@ -93,7 +95,7 @@
         reply: BackEndReply,
         load: Option<LoadReport>,
     ) -> Option<FinishedAttempt> {
-        // A reply to an attempt that waits to be sent (again) cannot be its reply.
+        // An attempt that is not on a connection cannot have a reply.
         let sent = self
             .attempts
             .get(attempt)
@@ -117,7 +119,7 @@
         finished
     }
 
-    /// An attempt failed.
+    /// Handles the failure of an attempt that was sent.
     pub fn failed(
         &mut self,
         context: &mut Context<'_>,
@@ -142,7 +144,7 @@
         finished
     }
 
-    /// Ends attempts that wait for a connection to this back end, none of which was sent.
+    /// Fails the attempts that wait for a connection to a back end.
     pub(super) fn fail_waiting(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Ends a waiting attempt whose time is over.
+    /// Fails a waiting attempt at its deadline.
     pub(super) fn expire(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         self.counters.attempts_expired_waiting += 1;
         if let Some(pending) = self.attempts.get(attempt) {
@@ -164,7 +166,7 @@
         self.fail_unsent(context, attempt);
     }
 
-    /// Closes the connection of a cancelled attempt whose reply did not come.
+    /// Closes the connection of a cancelled attempt that got no reply in its grace period.
     pub(super) fn abandon(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         let sent = self.attempts.get(attempt).and_then(|pending| pending.sent);
         let Some((connection, _)) = sent else {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Puts an attempt on a free, engaged connection.
+    /// Sends an attempt on a free connection that is marked as in use.
     pub(super) fn send(
         &mut self,
         context: &mut Context<'_>,
@@ -191,7 +193,7 @@
             return;
         };
         pending.sent = Some((connection, context.now));
-        // Time spent waiting for the connection is no longer there for the back end.
+        // The time spent waiting for a connection is deducted.
         pending.attempt.time_left = pending.deadline.since(context.now);
         let attempt_sent = pending.attempt.clone();
         self.connections
@@ -218,7 +220,7 @@
         self.fail_waiting_if_unconnected(context, index);
     }
 
-    /// A waiting attempt is not wanted any more.
+    /// Removes a cancelled attempt that waits for a connection.
     fn remove_waiting(&mut self, index: BackEndIndex, attempt: AttemptId) {
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.waiting.retain(|waiting| *waiting != attempt);
@@ -227,7 +229,8 @@
         self.back_ends.remove_if_drained(index);
     }
 
-    /// Lets an attempt whose connection broke before any byte left wait for another one, once.
+    /// Moves an attempt, once, to another connection after its connection broke before any byte was
+    /// sent. Returns whether the attempt was moved.
     fn move_to_other_connection(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> bool {
         let Some(pending) = self.attempts.get_mut(attempt) else {
             return false;
@@ -253,7 +256,7 @@
                 self.send(context, connection, attempt);
             }
             None => {
-                // It came before those that wait now.
+                // The attempt is older than the waiting ones.
                 state.pool.waiting.push_front(attempt);
                 self.attempts.begin_waiting(attempt);
                 self.open_for_waiting(context, index);
@@ -262,7 +265,7 @@
         true
     }
 
-    /// Ends an attempt that was never sent.
+    /// Fails an attempt that was never sent.
     fn fail_unsent(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         if let Some(pending) = self.remove_attempt(attempt) {
             let finished = self.finish(context, pending, Err(AttemptFailure::NotSent));
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Refuses an attempt that its back end may not get.
+    /// Fails an attempt whose back end is unknown or takes no new work.
     fn reject(&mut self, back_end: &BackEndId, owner: AttemptOwner, attempt: Attempt) {
         self.finished.push_back(FinishedAttempt {
             owner,
@@ -309,7 +312,7 @@
     }
 }
 
-/// Whether a reply belongs to the attempt that its connection was running.
+/// Whether a reply echoes the ids of the attempt that its connection carries.
 fn matches_attempt(reply: &BackEndReply, attempt: &Attempt) -> bool {
     reply.attempt == attempt.attempt
         && reply.request == attempt.request
--- a/crates/thornbridge-core/src/routing/hash.rs
+++ b/crates/thornbridge-core/src/routing/hash.rs
@@ -1,9 +1,8 @@
-//! A hash map whose hasher is fixed and fast for short keys.
+//! Hash map with a fixed hasher that is fast for short keys.
 //!
-//! The standard map's random hasher would make runs differ, and a streaming hasher costs more
-//! than the lookup of a short identifier. Keys come from the approved bundle or from this node
-//! itself, so collisions cannot be provoked from outside. Maps of this kind are only looked
-//! things up in, never iterated.
+//! The hasher is not seeded, so that runs are reproducible. Keys come from the active configuration
+//! or from this node, so that collisions cannot be provoked from outside. These maps are not
+//! iterated.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -12,7 +11,7 @@
 const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 const WORD_BYTES: usize = 8;
 
-/// Map for lookups by identifier.
+/// Map for lookups by id.
 pub(super) type LookupMap<K, V> = HashMap<K, V, BuildHasherDefault<FixedHasher>>;
 
 /// Multiplicative hasher without a seed.
--- a/crates/thornbridge-core/src/routing/health.rs
+++ b/crates/thornbridge-core/src/routing/health.rs
@@ -1,4 +1,5 @@
-//! Whether a back end takes work: from its replies, its reports, its connections, and peers.
+//! Health of a back end: readiness and reachability, from replies, load reports, connections,
+//! probes and peers.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -7,17 +8,16 @@
 use thornbridge_proto::back_end::{LoadReport, Readiness};
 use thornbridge_proto::peer::health::HealthRecord;
 
-/// Tunable values.
+/// Parameters of health tracking.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HealthViewParameters {
-    /// How long a word of leaving stands against words of being ready: replies, probes and peers'
-    /// records may be older than it although they come later.
+    /// Time for which a back end stays leaving despite messages that say otherwise. Such replies,
+    /// probes and records of peers may be older than the message that it is leaving.
     pub leaving_memory: Duration,
-    /// A peer's word that a back end is unreachable is not believed this long after a reply to
-    /// this node: its own eyes count more.
+    /// Time after a reply for which reports that the back end is unreachable are ignored.
     pub own_evidence: Duration,
-    /// Probes without an answer, one after the other, that make a back end unreachable.
+    /// Consecutive failed probes after which a back end is unreachable.
     pub failed_probes: u32,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// What this node believes of one back end.
+/// Health of one back end, as known to this node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HealthView {
     readiness: Readiness,
     leaving_seen_at: Option<Timestamp>,
-    /// Version of the last record known when it was seen leaving.
+    /// Version of the latest record when the back end was last seen leaving.
     leaving_version: u64,
-    /// A newer record calls it ready, but not long enough after it was seen leaving.
+    /// Readiness from a newer record that arrived too soon after the back end was seen leaving.
     deferred_readiness: Option<Readiness>,
     unreachable: bool,
     reported_unreachable: bool,
@@ -49,32 +49,32 @@
 }
 
 impl HealthView {
-    /// Leaving: gets no new work whatever else is known.
+    /// Whether the back end is leaving and takes no new work.
     pub(super) fn is_leaving(&self) -> bool {
         self.readiness == Readiness::Leaving
     }
 
-    /// This node itself cannot reach it.
+    /// Whether this node cannot reach the back end.
     pub(super) fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// A peer cannot reach it, and this node has no better knowledge.
+    /// Whether a peer cannot reach the back end and this node has no recent reply from it.
     pub(super) fn is_reported_unreachable(&self) -> bool {
         self.reported_unreachable
     }
 
-    /// What it last said of itself.
+    /// Readiness last reported by the back end.
     pub(super) fn readiness(&self) -> Readiness {
         self.readiness
     }
 
-    /// Snapshots it said it holds.
+    /// Snapshots reported by the back end.
     pub(super) fn snapshots(&self) -> Option<&[SnapshotId]> {
         self.snapshots.as_deref()
     }
 
-    /// It answered an attempt. True where this is news.
+    /// Records a reply to an attempt; returns whether the health changed.
     pub(super) fn record_reply(&mut self, now: Timestamp) -> bool {
         self.last_reply = Some(now);
         self.failed_probes = 0;
@@ -82,7 +82,7 @@
         std::mem::take(&mut self.unreachable)
     }
 
-    /// It said how it is. True where this is news.
+    /// Records a reported readiness; returns whether it changed.
     pub(super) fn record_readiness(
         &mut self,
         parameters: &HealthViewParameters,
@@ -103,7 +103,7 @@
         changed
     }
 
-    /// It reported its load. True where this is news.
+    /// Records a load report; returns whether the health changed.
     pub(super) fn record_load_report(
         &mut self,
         parameters: &HealthViewParameters,
@@ -118,18 +118,19 @@
         changed
     }
 
-    /// No connection to it could be opened, and none is open. True where this is news.
+    /// Records that no connection is open and none can be opened; returns whether the health
+    /// changed.
     pub(super) fn record_connect_failure(&mut self) -> bool {
         !std::mem::replace(&mut self.unreachable, true)
     }
 
-    /// A connection was opened. True where this is news.
+    /// Records an opened connection; returns whether the health changed.
     pub(super) fn record_connected(&mut self) -> bool {
         self.failed_probes = 0;
         std::mem::take(&mut self.unreachable)
     }
 
-    /// A probe was answered. True where this is news.
+    /// Records a reply to a probe; returns whether the health changed.
     pub(super) fn record_probe_reply(
         &mut self,
         parameters: &HealthViewParameters,
@@ -142,7 +143,7 @@
         self.record_load_report(parameters, now, report) || became_reachable
     }
 
-    /// A probe was not answered. True where this is news.
+    /// Records a failed probe; returns whether the health changed.
     pub(super) fn record_probe_failure(
         &mut self,
         parameters: &HealthViewParameters,
@@ -156,7 +157,7 @@
         !std::mem::replace(&mut self.unreachable, true)
     }
 
-    /// A record came through health sharing. Older ones than those known say nothing.
+    /// Applies a record of a peer, unless a newer one is known.
     pub(super) fn apply_record(
         &mut self,
         parameters: &HealthViewParameters,
@@ -170,7 +171,7 @@
         self.version = record.version;
         self.record_readiness(parameters, now, record.readiness);
         if newer && record.readiness != Readiness::Leaving && self.is_leaving() {
-            // Records come once: this one is kept until it may be believed.
+            // A record is received once only, so its readiness is kept until it can be applied.
             self.deferred_readiness = Some(record.readiness);
         }
         if record.snapshots.is_some() {
@@ -179,8 +180,8 @@
         self.reported_unreachable = !record.reachable && !self.recently_replied(parameters, now);
     }
 
-    /// Believes a record that came too soon after the back end was seen leaving, once that is
-    /// long enough ago. True where it is no longer leaving.
+    /// Applies a deferred readiness when the back end has not been seen leaving for long enough.
+    /// Returns whether one was applied.
     pub(super) fn apply_deferred_readiness(
         &mut self,
         parameters: &HealthViewParameters,
@@ -197,7 +198,7 @@
         true
     }
 
-    /// The record that tells peers of the present state. Raises the version.
+    /// Increments and returns the version, for a new record.
     pub(super) fn next_version(&mut self) -> u64 {
         self.version += 1;
         self.version
--- a/crates/thornbridge-core/src/routing/latency.rs
+++ b/crates/thornbridge-core/src/routing/latency.rs
@@ -1,33 +1,32 @@
-//! What is known of one back end's latency: a geometric mean for ranking, quantiles for hedging.
+//! Latency estimate of a back end: geometric mean for ranking, histogram for quantiles.
 //!
-//! All arithmetic is addition, multiplication and bit operations: functions of the platform's
-//! mathematics library may round differently elsewhere, and the same seed must give the same
-//! run on any machine.
+//! Uses only addition, multiplication, division and bit operations, since the platform's `log2` and
+//! `exp2` may round differently elsewhere and a seeded run must be reproducible on any machine.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Buckets per doubling of latency: a quantile is exact to about a fifth.
+/// Histogram buckets per doubling of latency.
 const BUCKETS_PER_DOUBLING: f32 = 4.0;
-/// Buckets from 1 µs to about 17 s.
+/// Number of buckets, from 1 µs to about 17 s.
 const BUCKETS: usize = 96;
-/// Samples after which all counts are halved, so that old ones fade.
+/// Samples after which all counts are halved, so that old samples decay.
 const SAMPLES_UNTIL_HALVED: u16 = 200;
 const MANTISSA_BITS: u32 = 23;
 const MICROS_PER_SECOND: f32 = 1e6;
 const EXPONENT_BIAS: f32 = 127.0;
 
-/// Tunable values.
+/// Parameters of latency estimates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LatencyParameters {
-    /// Weight of a new sample in the mean. A tenth: three samples show a tenfold slowdown.
+    /// Minimum weight of a new sample in the mean.
     pub weight: f32,
-    /// Age at which half of an estimate's distance from its service's usual latency is
-    /// forgotten. A back end that was slow is tried again after a few of these.
+    /// Age at which half of an estimate's distance from the mean of its service has decayed, so
+    /// that a back end that was slow gets attempts again.
     pub forgetting: Duration,
-    /// Samples below which quantiles are not given.
+    /// Minimum samples for quantiles.
     pub quantile_samples: u32,
 }
 
@@ -41,7 +40,7 @@
     }
 }
 
-/// Latency of one back end, or of all of a service.
+/// Latency of one back end, or of all back ends of a service.
 #[derive(Clone, Debug)]
 pub(super) struct LatencyEstimate {
     mean_log2_us: f32,
@@ -64,7 +63,7 @@
 }
 
 impl LatencyEstimate {
-    /// Takes a measured latency. `baseline` is the logarithm that old knowledge fades towards.
+    /// Records a measured latency. `baseline` is the value that the old estimate decays towards.
     pub(super) fn record(
         &mut self,
         parameters: &LatencyParameters,
@@ -77,7 +76,7 @@
         self.record_bucket(value);
     }
 
-    /// Takes a lower bound, as from an attempt that was given up: it only makes things worse.
+    /// Records a lower bound of a latency, as from a cancelled attempt. Only raises the estimate.
     pub(super) fn record_lower_bound(
         &mut self,
         parameters: &LatencyParameters,
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Logarithm (base 2) of the mean in microseconds as it is believed now.
+    /// Log2 of the mean in µs, decayed towards `baseline` by its age.
     pub(super) fn decayed_log2_us(
         &self,
         parameters: &LatencyParameters,
@@ -111,17 +110,17 @@
         Some(baseline + (self.mean_log2_us - baseline) * freshness)
     }
 
-    /// Mean without regard to age.
+    /// Log2 of the mean in µs, without decay.
     pub(super) fn mean_log2_us(&self) -> Option<f32> {
         (self.samples > 0).then_some(self.mean_log2_us)
     }
 
-    /// Samples taken.
+    /// Number of samples in the mean.
     pub(super) fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// The latency that this share of recent attempts stayed under.
+    /// Upper bound of the bucket of a quantile (0 to 1); `None` with too few samples.
     pub(super) fn quantile(
         &self,
         parameters: &LatencyParameters,
@@ -182,23 +181,23 @@
     }
 }
 
-/// Logarithm to base 2 of a latency in microseconds, linear between powers of two.
+/// Log2 of a latency in µs, linear between powers of two.
 pub(super) fn log2_us(latency: Duration) -> f32 {
     approximate_log2(latency.as_secs_f32() * MICROS_PER_SECOND)
 }
 
-/// Logarithm to base 2 of a ratio of at least 1, linear between powers of two.
+/// Log2 of a ratio of at least 1, linear between powers of two.
 pub(super) fn approximate_log2(ratio: f32) -> f32 {
     ratio.max(1.0).to_bits() as f32 / (1u32 << MANTISSA_BITS) as f32 - EXPONENT_BIAS
 }
 
-/// Microseconds of a logarithm: the inverse of [`log2_us`].
+/// Inverse of [`log2_us`], in µs.
 pub(super) fn micros_from_log2_us(log2_us: f32) -> f32 {
     let bits = (log2_us.clamp(0.0, 40.0) + EXPONENT_BIAS) * (1u32 << MANTISSA_BITS) as f32;
     f32::from_bits(bits as u32)
 }
 
-/// The latency of a logarithm.
+/// Inverse of [`log2_us`].
 pub(super) fn duration_from_log2_us(log2_us: f32) -> Duration {
     Duration::from_nanos((micros_from_log2_us(log2_us) * 1_000.0) as u64)
 }
--- a/crates/thornbridge-core/src/routing/load.rs
+++ b/crates/thornbridge-core/src/routing/load.rs
@@ -1,21 +1,20 @@
-//! What a back end says of its load. It may lag, and it may be wrong.
+//! Load of a back end from its reports, which may be outdated or wrong.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thornbridge_proto::back_end::LoadReport;
 
-/// Tunable values.
+/// Parameters of reported load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadParameters {
-    /// Age at which a report counts half, as a share of the back end's latency: within one
-    /// latency most of the work that it counted is done. Compare M. Mitzenmacher, "How Useful
-    /// Is Old Information?", 2000.
+    /// Age at which a report has half its weight, as a share of the back end's latency. Compare M.
+    /// Mitzenmacher, "How Useful Is Old Information?", 2000.
     pub half_age_share: f32,
-    /// Least such age.
+    /// Minimum of that age.
     pub least_half_age: Duration,
-    /// Most load by others that a report can claim, as a multiple of the slots.
+    /// Maximum load of other nodes that is taken from a report, as a multiple of the slots.
     pub greatest_claim: f32,
 }
 
@@ -29,7 +28,7 @@
     }
 }
 
-/// The last report of a back end, less this node's own share in it.
+/// Load of other nodes, from the latest report of a back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedLoad {
     others_load: f32,
@@ -37,15 +36,14 @@
 }
 
 impl ReportedLoad {
-    /// Takes a report that came while `own` of this node's attempts were at the back end.
+    /// Records a report that arrived while `own` attempts of this node were at the back end.
     pub(super) fn record(&mut self, now: Timestamp, report: &LoadReport, own: u32) {
         let total_load = report.running.saturating_add(report.queued);
         self.others_load = total_load.saturating_sub(own) as f32;
         self.received = now;
     }
 
-    /// Work of other nodes that is believed to be there now, at a back end with so many slots
-    /// and this latency.
+    /// Load of other nodes, decayed by the age of the report.
     pub(super) fn others_load(
         &self,
         parameters: &LoadParameters,
--- a/crates/thornbridge-core/src/routing/mod.rs
+++ b/crates/thornbridge-core/src/routing/mod.rs
@@ -1,10 +1,13 @@
-//! Which back end gets an attempt, and on which connection.
+//! Routing of attempts: choice of a back end and of a connection.
 //!
-//! [`Router`] is one state machine; its parts:
-//! choosing a replica (`choosing`, `balancer`), the life of an attempt (`dispatching`,
-//! `attempts`), connections (`connecting`, `connections`), what is learnt of back ends
-//! (`observing`, `health`, `load`, `latency`, `outlier`, `slow_start`, `back_end_limit`), and
-//! changes of configuration and members (`reconfiguring`, `subset`).
+//! [`Router`] is one state machine in several modules:
+//!
+//! - choice of a replica: `choosing`, `balancer`
+//! - lifecycle of attempts: `dispatching`, `attempts`
+//! - connections: `connecting`, `connections`
+//! - state of back ends: `observing`, `health`, `load`, `latency`, `outlier`, `slow_start`,
+//!   `back_end_limit`
+//! - changes of the configuration and the members: `reconfiguring`, `subset`
 
 mod attempts;
 mod back_end;
@@ -51,36 +54,36 @@
 use thornbridge_proto::back_end::{Attempt, BackEndReply};
 use thornbridge_proto::{AttemptId, BackEndId};
 
-/// Which part of the core an attempt belongs to.
+/// Engine that owns an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOwner {
-    /// [`crate::query`].
+    /// The query engine, [`crate::query`].
     Query,
-    /// [`crate::action`].
+    /// The action engine, [`crate::action`].
     Action,
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
 pub struct FinishedAttempt {
-    /// Whom to tell.
+    /// Engine to notify.
     pub owner: AttemptOwner,
-    /// The attempt as it was sent.
+    /// The attempt as sent.
     pub attempt: Attempt,
-    /// Where it ran.
+    /// Back end of the attempt.
     pub back_end: BackEndId,
-    /// Time since it was handed to the router.
+    /// Time since dispatch.
     pub latency: Duration,
-    /// Reply, or how it failed. The reply's echoes of request, attempt and shard are checked;
-    /// that of the snapshot is for the owner to check.
+    /// Reply or failure. The reply's echoes of request, attempt and shard are checked; the snapshot
+    /// is checked by the owner.
     pub result: Result<BackEndReply, AttemptFailure>,
 }
 
-/// No back end can take an attempt now.
+/// No back end can take the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoReplica;
 
-/// Routing of one node: chooses back ends, owns the connections, tracks attempts.
+/// Router of one node: chooses back ends, manages connections, tracks attempts.
 #[derive(Debug)]
 pub struct Router {
     parameters: RoutingParameters,
@@ -89,11 +92,11 @@
     back_ends: BackEndTable,
     connections: Connections,
     attempts: Attempts,
-    /// Ended attempts that were not the subject of the event being handled.
+    /// Attempts that ended without a reply or failure of their own, for [`Self::poll_finished`].
     finished: VecDeque<FinishedAttempt>,
-    /// Times of the next try of back ends that cannot be connected to.
+    /// Times of the next attempt to connect, by back end.
     reconnects: BTreeSet<(Timestamp, BackEndIndex)>,
-    /// Back ends that are to get their warm connections.
+    /// Back ends whose warm connections are to be opened.
     warm_up: VecDeque<BackEndIndex>,
     warm_up_due: Option<Timestamp>,
     housekeeping_due: Option<Timestamp>,
@@ -103,7 +106,7 @@
 }
 
 impl Router {
-    /// A router without back ends.
+    /// Creates a router without back ends.
     pub fn new(parameters: RoutingParameters) -> Self {
         Self {
             parameters,
@@ -123,23 +126,23 @@
         }
     }
 
-    /// Counters.
+    /// Counters of the router.
     pub fn counters(&self) -> &RoutingCounters {
         &self.counters
     }
 
-    /// A fresh attempt id.
+    /// Allocates an attempt id.
     pub fn next_attempt_id(&mut self) -> AttemptId {
         self.attempts.next_id()
     }
 
-    /// Attempts running or waiting for a connection, cancelled ones included.
+    /// Attempts sent or waiting for a connection, cancelled ones included.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The next attempt that ended although no reply or failure of its own came: its time was
-    /// over, its back end left or is unreachable. To be called after every event until `None`.
+    /// Next attempt that ended without a reply or failure of its own: at its deadline, or because
+    /// its back end is leaving or unreachable. To be called after every event until `None`.
     pub fn poll_finished(&mut self) -> Option<FinishedAttempt> {
         self.finished.pop_front()
     }
--- a/crates/thornbridge-core/src/routing/observing.rs
+++ b/crates/thornbridge-core/src/routing/observing.rs
@@ -1,4 +1,4 @@
-//! What is learnt of back ends: from replies, failures, connections, probes and peers.
+//! Observations of back ends: replies, failures, connections, probes and health records of peers.
 
 use super::Router;
 use super::attempts::PendingAttempt;
@@ -13,7 +13,7 @@
 use thornbridge_proto::peer::health::HealthRecord;
 
 impl Router {
-    /// A probe was answered.
+    /// Handles a reply to a probe.
     pub fn probe_replied(
         &mut self,
         context: &mut Context<'_>,
@@ -43,7 +43,7 @@
         self.apply_health_change(context, index, was_leaving, changed);
     }
 
-    /// A probe was not answered.
+    /// Handles a failed probe.
     pub fn probe_failed(&mut self, context: &mut Context<'_>, back_end: &BackEndId) {
         let Some(index) = self.back_ends.index(back_end) else {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes news of a back end from health sharing.
+    /// Handles a health record from a peer.
     pub fn health_learnt(&mut self, context: &mut Context<'_>, record: &HealthRecord) {
         let Some(index) = self.back_ends.index(&record.back_end) else {
             return;
@@ -79,7 +79,7 @@
         self.apply_health_change(context, index, was_leaving, false);
     }
 
-    /// A reply belongs to its attempt: takes what it says of its back end.
+    /// Updates the state of a back end from a reply.
     pub(super) fn observe_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -125,7 +125,7 @@
         self.apply_health_change(context, index, was_leaving, changed);
     }
 
-    /// An attempt took at least this long.
+    /// Records a lower bound of an attempt's latency.
     pub(super) fn observe_latency_lower_bound(
         &mut self,
         now: Timestamp,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// An attempt failed at the back end or on the way.
+    /// Records a failure at the back end or on the connection; may eject the back end.
     pub(super) fn observe_failure(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let parameters = &self.parameters.outlier;
         let is_outlier = self
@@ -156,7 +156,7 @@
         }
     }
 
-    /// A connection was opened.
+    /// Records an opened connection.
     pub(super) fn observe_connected(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// No connection can be opened, and none is open.
+    /// Records that no connection is open and none can be opened.
     pub(super) fn observe_unreachable(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let changed = self
             .back_ends
@@ -180,7 +180,8 @@
         }
     }
 
-    /// One pass over all back ends: returns from ejection, ejections by latency, idle connections.
+    /// Runs a housekeeping pass: deferred readiness, ends of ejections, idle connections, ejections
+    /// by latency.
     pub(super) fn run_housekeeping(&mut self, context: &mut Context<'_>) {
         for index in self.back_ends.indices() {
             self.apply_deferred_readiness(context, index);
@@ -216,8 +217,8 @@
         }
     }
 
-    /// Acts on what changed in a back end's health. One that is leaving gets nothing more: what
-    /// waits for it ends unsent, and its idle connections are closed.
+    /// Acts on a change of health. When a back end starts leaving, its waiting attempts fail and
+    /// its idle connections are closed.
     fn apply_health_change(
         &mut self,
         context: &mut Context<'_>,
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Never more than a share of a service, and never the last sound replica of a shard.
+    /// Whether the ejection stays within the maximum share of the service and leaves a healthy
+    /// replica of every shard.
     fn may_eject(&self, index: BackEndIndex, state: &BackEndState) -> bool {
         let Some(service) = self.back_ends.services.get(state.service.0 as usize) else {
             return false;
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Ejects back ends of a service that are far slower than the middle one.
+    /// Ejects back ends of a service whose latency is far above the median.
     fn eject_slow(&mut self, context: &mut Context<'_>, service: ServiceIndex) {
         let Some(service) = self.back_ends.services.get(service.0 as usize) else {
             return;
--- a/crates/thornbridge-core/src/routing/outlier.rs
+++ b/crates/thornbridge-core/src/routing/outlier.rs
@@ -1,36 +1,37 @@
-//! Ejection of back ends that fail or are far slower than their like, with a cap.
+//! Outlier detection: ejection of back ends that fail or are far slower than others of their
+//! service.
 //!
-//! The signs are counted here; whether an ejection is allowed is the router's question, since
-//! that depends on the other replicas. Compare outlier detection in widely used proxies:
-//! consecutive failures, success rate, and a greatest share of ejected hosts.
+//! Compare Envoy's outlier detection: consecutive failures, success rate, maximum ejected share.
+//! This module tracks the failures; the router decides on ejections, since they depend on the other
+//! replicas.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values.
+/// Parameters of outlier detection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OutlierParameters {
-    /// Failures one after the other that eject.
+    /// Consecutive failures after which a back end is ejected.
     pub consecutive_failures: u32,
-    /// Least share of recent attempts that must succeed.
+    /// Minimum share of successful attempts.
     pub least_success_share: f32,
-    /// Attempts before the success share is looked at.
+    /// Minimum attempts before the success share is checked.
     pub success_samples: u32,
     /// Weight of a new attempt in the success share.
     pub success_weight: f32,
-    /// Multiple of the median latency of its service's back ends that ejects.
+    /// Multiple of the median latency of the service above which a back end is ejected.
     pub latency_multiple: f32,
-    /// Attempts before the latency is looked at.
+    /// Minimum latency samples before the latency is checked.
     pub latency_samples: u32,
-    /// First ejection lasts this long; each further one longer by as much.
+    /// Duration of the first ejection; each further one is longer by as much.
     pub duration: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub longest: Duration,
-    /// After an ejection, a single failure within this time ejects again.
+    /// Time after an ejection in which a single failure ejects again.
     pub probation: Duration,
-    /// Greatest share of a service's back ends that may be ejected at once; at least one may.
+    /// Maximum share of a service's back ends that may be ejected at once; one always may.
     pub greatest_share: f32,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// Signs of one back end, and whether it is ejected.
+/// Outlier state of one back end.
 #[derive(Clone, Debug)]
 pub(super) struct OutlierState {
     consecutive_failures: u32,
@@ -76,14 +77,14 @@
 }
 
 impl OutlierState {
-    /// An attempt ended well.
+    /// Records a successful attempt.
     pub(super) fn record_success(&mut self, parameters: &OutlierParameters) {
         self.consecutive_failures = 0;
         self.attempts = self.attempts.saturating_add(1);
         self.success_share += (1.0 - self.success_share) * parameters.success_weight;
     }
 
-    /// An attempt failed. True where that is a reason to eject.
+    /// Records a failed attempt; returns whether the back end should be ejected.
     pub(super) fn record_failure(
         &mut self,
         parameters: &OutlierParameters,
@@ -99,12 +100,12 @@
         on_probation || too_many_in_a_row || success_share_too_low
     }
 
-    /// Ejected, or its time is not yet checked.
+    /// Whether the back end is ejected; an ejection ends in [`Self::end_expired_ejection`].
     pub(super) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Ejects it.
+    /// Ejects the back end.
     pub(super) fn eject(&mut self, parameters: &OutlierParameters, now: Timestamp) {
         self.ejections = self.ejections.saturating_add(1);
         let duration = (parameters.duration * self.ejections).min(parameters.longest);
@@ -112,7 +113,7 @@
         self.probation_until = None;
     }
 
-    /// Lets it back where its time is over. True where it came back.
+    /// Ends an ejection whose time is over and starts probation; returns whether it ended.
     pub(super) fn end_expired_ejection(
         &mut self,
         parameters: &OutlierParameters,
@@ -129,7 +130,7 @@
         expired
     }
 
-    /// A probation survived makes the next ejection a first one again.
+    /// Ends probation when its time is over; the next ejection is a first one again.
     pub(super) fn end_probation(&mut self, now: Timestamp) {
         if self.probation_until.is_some_and(|until| now >= until) {
             self.probation_until = None;
--- a/crates/thornbridge-core/src/routing/parameters.rs
+++ b/crates/thornbridge-core/src/routing/parameters.rs
@@ -1,4 +1,4 @@
-//! Tunable values and counters of routing.
+//! Parameters and counters of routing.
 
 use super::back_end_limit::BackEndLimitParameters;
 use super::balancer::BalancerParameters;
@@ -12,37 +12,38 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values of routing.
+/// Parameters of routing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RoutingParameters {
-    /// Choice among replicas.
+    /// Load balancing.
     pub balancer: BalancerParameters,
-    /// Who connects to whom.
+    /// Assignment of nodes to back ends.
     pub subset: SubsetParameters,
-    /// Pools of connections.
+    /// Connection pools.
     pub connections: ConnectionParameters,
-    /// Estimates of latency.
+    /// Latency estimates.
     pub latency: LatencyParameters,
-    /// Trust in load reports.
+    /// Reported load.
     pub load: LoadParameters,
-    /// What makes a back end unusable.
+    /// Health tracking.
     pub health: HealthViewParameters,
-    /// Gradual start.
+    /// Slow start.
     pub slow_start: SlowStartParameters,
-    /// Ejection of outliers.
+    /// Outlier detection.
     pub outlier: OutlierParameters,
     /// Adaptive limit on attempts at one back end.
     pub limit: BackEndLimitParameters,
-    /// Time between passes of housekeeping: ejections by latency, returns, idle connections.
+    /// Time between housekeeping passes: ejections by latency, ends of ejections, idle connections.
     pub housekeeping_interval: Duration,
-    /// Wait after a change of the member list before subsets are computed again, so that changes
-    /// that come together cost one computation.
+    /// Delay after a change of the member list before the subset is computed again, to batch
+    /// changes.
     pub subset_delay: Duration,
-    /// How long a node that vanished without leaving still counts as a sharer of connections.
-    /// Longer than regions are expected to lose each other: the other side is still there.
+    /// Time for which a node that vanished without leaving still counts in the division of
+    /// connections. Longer than expected network partitions, since the other side keeps its
+    /// connections.
     pub lost_node_memory: Duration,
-    /// Time after the first member list during which the configured greatest number of nodes is
+    /// Time after the first member list for which the configured maximum number of nodes is
     /// assumed, since most members are not known yet.
     pub settling: Duration,
 }
@@ -70,27 +71,27 @@
 /// Counters of routing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutingCounters {
-    /// Attempts handed to a connection.
+    /// Attempts sent on a connection.
     pub attempts_sent: u64,
     /// Attempts that waited for a connection.
     pub attempts_waited: u64,
-    /// Waiting attempts whose time ended before a connection was free.
+    /// Attempts whose deadline passed while they waited for a connection.
     pub attempts_expired_waiting: u64,
-    /// Attempts cancelled by their owner, waiting or sent.
+    /// Attempts cancelled by their owner.
     pub attempts_cancelled: u64,
-    /// Cancelled attempts whose reply did not come in the grace time.
+    /// Cancelled attempts without a reply in the grace period.
     pub attempts_abandoned: u64,
-    /// Attempts moved to another connection because theirs broke before any byte left.
+    /// Attempts moved to another connection because theirs broke before any byte was sent.
     pub attempts_moved: u64,
     /// Attempts that failed.
     pub attempts_failed: u64,
     /// Attempts that the back end shed.
     pub attempts_shed: u64,
-    /// Replies to no attempt known, or with echoes of another one.
+    /// Replies to unknown attempts, or with the ids of another attempt.
     pub replies_foreign: u64,
-    /// Choices without any usable back end.
+    /// Choices that failed because no back end was usable.
     pub no_replica: u64,
-    /// Choices that fell back on a back end that is ejected or reported unreachable.
+    /// Choices of a back end that is ejected or reported unreachable.
     pub doubtful_choices: u64,
     /// Connections opened.
     pub connections_opened: u64,
@@ -102,15 +103,15 @@
     pub connections_closed: u64,
     /// Ejections.
     pub ejections: u64,
-    /// Ejections that the cap forbade.
+    /// Ejections prevented by the maximum share or for lack of another healthy replica.
     pub ejections_denied: u64,
-    /// Times that a back end was first known to be leaving.
+    /// Back ends that started leaving.
     pub leaving_seen: u64,
     /// Computations of the subset.
     pub subsets_computed: u64,
-    /// Shards, in the present subset, of which this node reaches fewer than two replicas although
-    /// there are more. A level, not a count of events.
+    /// Shards of which this node is connected to fewer than two replicas although there are more. A
+    /// gauge.
     pub shards_short_of_replicas: u64,
-    /// Shards, in the present subset, of which this node reaches no replica. A level.
+    /// Shards of which this node is connected to no replica. A gauge.
     pub shards_out_of_reach: u64,
 }
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -1,4 +1,4 @@
-//! Changes of configuration and of the member list: state carries over by identity.
+//! Changes of the configuration and of the member list. The state of a back end is kept by its id.
 
 use super::back_end::{BackEndIndex, BackEndState, ServiceIndex};
 use super::back_end_limit::BackEndLimit;
@@ -16,18 +16,18 @@
 use thornbridge_proto::peer::membership::MemberState;
 use thornbridge_proto::{NodeId, ZoneName};
 
-/// Pairs of node and back end weighed in one go: about a millisecond.
+/// Pairs of node and back end evaluated in one step.
 const PAIRS_PER_STEP: usize = 50_000;
-/// Time between two such steps, left to queries.
+/// Time between two steps, in which queries are handled.
 const STEP_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The members, as far as they share connections.
+/// Nodes among which the connections are divided.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     own: Option<(NodeId, ZoneName)>,
     nodes: Vec<SubsetNode>,
     members: BTreeMap<NodeId, KnownMember>,
-    /// Vanished without leaving: dead, or on the other side of a partition.
+    /// Members that vanished without leaving: dead, or on the other side of a partition.
     lost: BTreeMap<NodeId, KnownMember>,
     settled_at: Timestamp,
 }
@@ -44,7 +44,7 @@
         self.own.as_ref().map(|(node, _)| *node)
     }
 
-    /// Takes a member list. True where the sharers of connections changed.
+    /// Applies a member list; returns whether the nodes that accept work changed.
     fn update(
         &mut self,
         parameters: &RoutingParameters,
@@ -86,7 +86,8 @@
         !same
     }
 
-    /// A lost node is forgotten when it is back, when another run has its address, or in time.
+    /// Removes lost nodes that are members again, whose address another node has taken, or whose
+    /// time is over.
     fn expire_lost(&mut self, parameters: &RoutingParameters, now: Timestamp) {
         let members = &self.members;
         let addresses: std::collections::BTreeSet<SocketAddr> =
@@ -98,7 +99,7 @@
         });
     }
 
-    /// Nodes that may hold connections now.
+    /// Number of nodes that may hold connections, for the division of the connections.
     fn expected_nodes(&self, now: Timestamp, maximum_nodes: u32) -> u32 {
         let visible = self.members.len() as u32;
         if now < self.settled_at || self.own.is_none() {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Computation of the subset: what for, and how far.
+/// Schedule, progress and input of the computation of the subset.
 #[derive(Debug, Default)]
 pub(super) struct SubsetState {
     pub(super) due: Option<Timestamp>,
@@ -119,8 +120,8 @@
 }
 
 impl Router {
-    /// Takes a new configuration. What is known of a back end carries over by its identity; one
-    /// that is removed finishes what it has; one with a new address is connected to anew.
+    /// Installs a configuration. Known back ends keep their state, removed ones are drained, and
+    /// those with a new address are reset.
     pub fn install(&mut self, context: &mut Context<'_>, in_force: &Arc<InForce>) {
         let first = self.in_force.replace(Arc::clone(in_force)).is_none();
         for (service, configured) in in_force.bundle.services.iter().enumerate() {
@@ -144,7 +145,7 @@
         self.housekeeping_due.get_or_insert(due);
     }
 
-    /// Takes a new member list.
+    /// Applies a member list.
     pub fn members_changed(&mut self, context: &mut Context<'_>, view: &Arc<MemberView>) {
         let first = self.membership.own.is_none();
         let changed = self.membership.update(&self.parameters, context.now, view);
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Does a part of the computation of the subset.
+    /// Runs one step of the computation of the subset.
     pub(super) fn advance_subset(&mut self, context: &mut Context<'_>) {
         let build = self.subset_state.build.take();
         let mut build = build.unwrap_or_else(|| self.begin_subset(context.now));
@@ -172,8 +173,9 @@
         }
     }
 
-    /// Back ends changed: those open to every node are used at once. The others are computed
-    /// between queries, unless a shard is out of reach until then.
+    /// Applies a changed topology. Back ends that all nodes may connect to are available at once.
+    /// The others follow in steps between queries, or at once if a shard would have no replica
+    /// until then.
     fn apply_topology(&mut self, context: &mut Context<'_>) {
         let mut build = self.begin_subset(context.now);
         let shares: Vec<Option<u32>> = build.unrestricted_shares().collect();
@@ -218,7 +220,7 @@
         let settling = context.now < self.membership.settled_at;
         self.subset_state.build = None;
         self.subset_state.due = settling.then_some(self.membership.settled_at);
-        // Without a member list, this node is nobody: it takes what is open to everyone.
+        // Before the first member list, only back ends that all nodes may connect to are used.
         let node = self.membership.own_node().unwrap_or_default();
         let shares = build.shares(node);
         let indices = std::mem::take(&mut self.subset_state.indices);
@@ -299,7 +301,7 @@
         }
     }
 
-    /// Another address is another server process: nothing learnt holds for it.
+    /// Resets the state of a back end with a new address, which is another server process.
     fn reset_for_new_address(
         &mut self,
         context: &Context<'_>,
--- a/crates/thornbridge-core/src/routing/slow_start.rs
+++ b/crates/thornbridge-core/src/routing/slow_start.rs
@@ -1,21 +1,21 @@
-//! A back end that is new, has come back, or calls itself cold gets work gradually.
+//! Slow start: gradual increase of the load on a back end that is new, has returned or is cold.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thornbridge_proto::back_end::Readiness;
 
-/// Tunable values.
+/// Parameters of slow start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SlowStartParameters {
-    /// Time from the first work to the full share.
+    /// Time from the start to full weight.
     pub ramp: Duration,
-    /// Share of its usual chances at the beginning: enough to warm caches with.
+    /// Initial weight; enough to fill caches.
     pub least_weight: f32,
-    /// Share of its usual chances while it calls itself cold.
+    /// Weight while the back end reports itself cold.
     pub cold_weight: f32,
-    /// Longest that a back end is believed to be cold.
+    /// Maximum time for which a back end counts as cold.
     pub longest_cold: Duration,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Progress of one back end's start.
+/// Slow start of one back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowStart {
     started_at: Option<Timestamp>,
@@ -38,12 +38,12 @@
 }
 
 impl SlowStart {
-    /// The ramp begins.
+    /// Starts the ramp.
     pub(super) fn begin(&mut self, now: Timestamp) {
         self.started_at = Some(now);
     }
 
-    /// The back end said how it is.
+    /// Records the readiness that the back end reported.
     pub(super) fn record_readiness(&mut self, now: Timestamp, readiness: Readiness) {
         match readiness {
             Readiness::Cold => self.cold_since = self.cold_since.or(Some(now)),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Share of its usual chances that the back end gets now, above 0 and up to 1.
+    /// Probability that the back end is chosen without restriction, above 0 and up to 1.
     pub(super) fn weight(&self, parameters: &SlowStartParameters, now: Timestamp) -> f32 {
         self.ramp_weight(parameters, now)
             .min(self.cold_weight(parameters, now))
--- a/crates/thornbridge-core/src/routing/subset.rs
+++ b/crates/thornbridge-core/src/routing/subset.rs
@@ -1,13 +1,14 @@
-//! Which nodes connect to which back ends, and with how many connections.
+//! Deterministic subsetting: which nodes connect to which back ends, and with how many connections.
 //!
-//! Every node computes the same assignment from the same member list, without a message. A back
-//! end whose limit lets every node have a connection is open to all. Any other one is given to
-//! as many nodes as it bears: within each shard's replicas, nodes choose in rounds, so that
-//! every node has one replica before any has two. A choice goes to the highest rendezvous hash
-//! (D. Thaler and C. Ravishankar, 1998) among replicas that are not yet full (bounded loads:
-//! V. Mirrokni et al., 2016), in the node's own zone first and then in other zones.
+//! Every node computes the same assignment from the same member list, without messages. All nodes
+//! connect to a back end whose connection limit allows it. Any other back end is assigned to as
+//! many nodes as its limit allows: nodes choose among the replicas of each shard in rounds, so that
+//! every node has one replica before any has two. A node prefers replicas in its own zone first and
+//! in other zones then, and among these the highest rendezvous hash (D. Thaler and C. Ravishankar,
+//! 1998) with bounded loads (V. Mirrokni et al., 2016).
 //!
-//! Members' views differ for a while after each change, so a part of each limit is kept free.
+//! A share of each limit is kept in reserve, since the nodes' member lists differ for a while after
+//! a change.
 
 use serde::{Deserialize, Serialize};
 use thornbridge_proto::{NodeId, ZoneName};
@@ -15,19 +16,18 @@
 
 const WORD_BITS: usize = 64;
 
-/// Tunable values.
+/// Parameters of subsetting.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SubsetParameters {
-    /// Share of each back end's connections that is not given out: nodes that one view knows and
-    /// another does not yet, and connections closed here and not yet there.
+    /// Share of each back end's connections that is not assigned, for nodes with another member
+    /// list and for connections not closed yet.
     pub reserve: f64,
-    /// Replicas of each shard that a node wants to reach. Two give a choice and a hedge; the
-    /// third keeps both when one is lost.
+    /// Replicas of each shard that a node connects to, if possible.
     pub replicas_wanted: u32,
-    /// Connections a node has to a back end that cannot be open to all nodes.
+    /// Connections of a node to a back end that not all nodes can connect to.
     pub least_pool: u32,
-    /// Most connections a node has to one back end, however few nodes there are.
+    /// Maximum connections of a node to one back end.
     pub greatest_pool: u32,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A node that may connect.
+/// Node that may connect to back ends.
 #[derive(Clone, Debug)]
 pub(crate) struct SubsetNode {
     pub(crate) node: NodeId,
@@ -62,73 +62,72 @@
     }
 }
 
-/// A back end that may be connected to.
+/// Back end to assign.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SubsetServer {
-    /// Hash of its identity.
+    /// Hash of the back end's id.
     pub(crate) hash: u64,
     pub(crate) zone: ZoneName,
-    /// Connections it bears from all nodes together.
+    /// Maximum connections from all nodes together.
     pub(crate) connections: u32,
 }
 
-/// What is to be connected: back ends, and the replicas of each shard as positions among them.
+/// Back ends, and the replica groups of the shards as indices of back ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Topology {
     pub(crate) servers: Vec<SubsetServer>,
     pub(crate) groups: Vec<Vec<u32>>,
 }
 
-/// How a back end's connections are given out.
+/// Division of a back end's connections among the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Allocation {
-    /// Every node has this many.
+    /// Each node has `pool` connections.
     AllNodes { pool: u32 },
-    /// At most so many nodes have the least pool.
+    /// At most this many nodes have [`SubsetParameters::least_pool`] connections each.
     LimitedNodes { nodes: u32 },
 }
 
-/// An assignment in the making. [`Self::advance`] does a bounded part of the work.
+/// Assignment in progress. [`Self::advance`] does a bounded part of the work.
 #[derive(Debug)]
 pub(crate) struct SubsetBuild {
     parameters: SubsetParameters,
     topology: Topology,
     nodes: Vec<SubsetNode>,
     allocations: Vec<Allocation>,
-    /// Per back end: one bit per node.
+    /// Bit set of the assigned nodes of each back end.
     assigned: Vec<Vec<u64>>,
     node_counts: Vec<u32>,
     group: usize,
     shard: Option<ShardAssignment>,
 }
 
-/// The shard whose replicas are being given out.
+/// Progress on one shard. Pairs are stored node by node.
 #[derive(Debug)]
 struct ShardAssignment {
-    /// Replicas that cannot be open to everyone.
+    /// Replicas with a limited number of nodes.
     limited: Vec<usize>,
-    /// Zone of each of them, as one bit.
+    /// Zone bit of each limited replica.
     zones: Vec<u64>,
-    /// Whether each of them has all the nodes it may have.
+    /// Whether each limited replica has all nodes that its limit allows.
     full: Vec<bool>,
-    /// Rendezvous hash of each node with each of them, node by node; the top bit is left free.
+    /// Rendezvous hashes of all pairs of node and limited replica; the top bit is zero.
     hashes: Vec<u64>,
-    /// Which of them each node has, node by node.
+    /// Whether the replica is assigned to the node, for all pairs.
     held: Vec<bool>,
-    /// How many of them each node has.
+    /// Number of limited replicas assigned to each node.
     counts: Vec<u32>,
-    /// Zones in which each node has one.
+    /// Zone bits of the replicas assigned to each node.
     held_zones: Vec<u64>,
-    /// Nodes in the order in which they choose, one of its own for each shard, so that no node
-    /// is always last.
+    /// Nodes in the order in which they choose; differs by shard, so that no node is always last.
     order: Vec<u32>,
     round: u32,
     rounds: u32,
 }
 
 impl SubsetBuild {
-    /// Begins an assignment for these live nodes. `expected_nodes`, where larger, also counts
-    /// nodes that are not seen now but may still hold connections.
+    /// Starts an assignment for the live nodes. `expected_nodes`, if larger, includes nodes that
+    /// are not visible but may still hold connections.
     pub(crate) fn new(
         parameters: SubsetParameters,
         topology: Topology,
@@ -162,7 +161,8 @@
         }
     }
 
-    /// Does rounds until about `budget` pairs of node and back end were weighed. True when done.
+    /// Runs rounds until about `budget` pairs of node and back end are evaluated; returns whether
+    /// the assignment is complete.
     pub(crate) fn advance(&mut self, budget: usize) -> bool {
         let mut evaluated = 0;
         while self.group < self.topology.groups.len() {
@@ -174,7 +174,7 @@
         true
     }
 
-    /// Connections that a node has to each back end; 0 where it has none.
+    /// Connections of a node to each back end; 0 if not assigned.
     pub(crate) fn shares(&self, node: NodeId) -> Vec<u32> {
         let position = self
             .nodes
@@ -191,7 +191,7 @@
             .collect()
     }
 
-    /// Connections to the back ends that are open to every node; absent for the others.
+    /// Connections to each back end that all nodes connect to; `None` for the others.
     pub(crate) fn unrestricted_shares(&self) -> impl Iterator<Item = Option<u32>> {
         self.allocations.iter().map(|allocation| match allocation {
             Allocation::AllNodes { pool } => Some(*pool),
@@ -199,7 +199,7 @@
         })
     }
 
-    /// One round of one shard. Gives the number of pairs weighed.
+    /// Runs one round of one shard; returns the number of pairs evaluated.
     fn next_round(&mut self) -> usize {
         let mut shard = self.shard.take().unwrap_or_else(|| self.begin_shard());
         let evaluated = 1 + shard.limited.len() * self.nodes.len();
@@ -249,7 +249,7 @@
         shard
     }
 
-    /// Hashes all pairs, and takes over what nodes have of these back ends for other shards.
+    /// Hashes all pairs, and takes over assignments made for other shards of the same back ends.
     fn initialize_pairs(&self, shard: &mut ShardAssignment) {
         let pairs = shard.limited.len() * self.nodes.len();
         shard.hashes.reserve_exact(pairs);
@@ -276,8 +276,8 @@
             .sort_by_cached_key(|position| pair_hash(seed, self.nodes[*position as usize].hash));
     }
 
-    /// Gives the node its next replica, if one is left: first by zone, the node's own one for the
-    /// first replica and a new one for the others; then by hash.
+    /// Assigns the node its next replica, if one is left. The node's own zone is preferred for the
+    /// first replica, a new zone for the others; ties are decided by hash.
     fn assign_next_replica(&mut self, position: usize, shard: &mut ShardAssignment) {
         if shard.counts[position] > shard.round {
             return;
@@ -329,17 +329,17 @@
     }
 }
 
-/// One of 64 bits for a zone. Two zones may share one; that only costs some preference.
+/// Bit of a zone. Two zones may share a bit, which only weakens the preference by zone.
 fn zone_bit(zone: &ZoneName) -> u64 {
     1 << (xxh3_64(zone.as_str().as_bytes()) % 64)
 }
 
-/// Hash of a back end's identity for [`SubsetServer`].
+/// Hash of an id, as for [`SubsetServer::hash`].
 pub(crate) fn server_hash(identity: &str) -> u64 {
     xxh3_64(identity.as_bytes())
 }
 
-/// Hash of a node with a back end.
+/// Rendezvous hash of a node and a back end.
 pub(crate) fn pair_hash(node: u64, server: u64) -> u64 {
     xxh3_64_with_seed(&node.to_le_bytes(), server)
 }
--- a/crates/thornbridge-core/src/routing/timing.rs
+++ b/crates/thornbridge-core/src/routing/timing.rs
@@ -1,11 +1,11 @@
-//! What the router does when its time comes.
+//! Timers of the router.
 
 use super::Router;
 use crate::context::Context;
 use crate::time::Timestamp;
 
 impl Router {
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time at which [`Self::timer_due`] is to be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [
             self.attempts.next_timeout(),
@@ -17,8 +17,8 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Does what is due; attempts that waited too long for a connection end, and
-    /// [`Self::poll_finished`] gives them.
+    /// Runs due timers. Waiting attempts whose deadline has passed are returned by
+    /// [`Self::poll_finished`].
     pub fn timer_due(&mut self, context: &mut Context<'_>) {
         while let Some(attempt) = self.attempts.next_expired(context.now) {
             self.expire(context, attempt);
