--- a/crates/thornbridge-core/src/action/answering.rs
+++ b/crates/thornbridge-core/src/action/answering.rs
@@ -1,7 +1,7 @@
-//! Answering callers: an action's own end, a recorded one, or a refusal.
+//! Replies to callers: the outcome of an action, a recorded end, or a refusal.
 
 use super::ActionEngine;
-use super::owned::{OwnedAction, Phase, Waiter};
+use super::owned_action::{OwnedAction, Phase, Waiter};
 use crate::context::Context;
 use crate::driver_action::{Action, Observation};
 use crate::limits::LoadSignal;
@@ -12,8 +12,8 @@
 use thornbridge_proto::{Digest, ServiceName};
 
 impl ActionEngine {
-    /// A request with a key that this node knows.
-    pub(super) fn repeat(
+    /// Handles a request whose key this node already has an action for.
+    pub(super) fn handle_repeat(
         &mut self,
         context: &mut Context<'_>,
         key: Digest,
@@ -25,26 +25,29 @@
         };
         if action.plan.payload != payload {
             let service = action.plan.service.clone();
-            return self.refuse(context, &service, waiter, reused(waiter));
+            return self.refuse(context, &service, waiter, reused_key_refusal(waiter));
         }
         match &action.phase {
             Phase::Ended { end, .. } => {
                 let end = end.clone();
                 let service = action.plan.service.clone();
-                self.give(context, &service, waiter, &end, true);
+                self.answer(context, &service, waiter, &end, true);
             }
             _ => {
                 action.waiters.push(waiter);
-                let sooner = action.wake.is_none_or(|wake| wake > waiter.deadline);
+                let sooner = action
+                    .next_check
+                    .is_none_or(|next_check| next_check > waiter.deadline);
                 if sooner {
-                    self.wake_at(key, waiter.deadline);
+                    self.schedule_check(key, waiter.deadline);
                 }
             }
         }
     }
 
-    /// The action of this node's own claim ended: answers, records and tells the group.
-    pub(super) fn finish_own(
+    /// Ends an action that ran under this node's claim: replies to the waiters and replicates the
+    /// end to the group.
+    pub(super) fn finish_owned(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -52,7 +55,7 @@
         end: ActionEnd,
         signal: LoadSignal,
     ) {
-        self.leave_limits(context, resources, key, signal);
+        self.release_admission(context, resources, key, signal);
         let Some(action) = self.owned.get_mut(&key) else {
             return;
         };
@@ -65,18 +68,18 @@
             end: end.clone(),
             at,
         };
-        self.open -= 1;
-        self.requests.remove(&first);
+        self.open_actions -= 1;
+        self.keys_by_request.remove(&first);
         for waiter in waiters {
             let replayed = waiter.request != first;
-            self.give(context, &service, waiter, &end, replayed);
+            self.answer(context, &service, waiter, &end, replayed);
         }
-        self.record(context, claim, end);
+        self.replicate_end(context, claim, end);
         let forget = context.now + self.parameters.owner_retention;
-        self.wake_at(key, forget);
+        self.schedule_check(key, forget);
     }
 
-    fn record(
+    fn replicate_end(
         &mut self,
         context: &mut Context<'_>,
         claim: thornbridge_proto::peer::action::Claim,
@@ -95,41 +98,46 @@
         }
     }
 
-    /// The key's action ended under another claim: answers, and forgets it here.
-    pub(super) fn finish_for_other(
+    /// Replies with the end recorded under another claim, and removes the action from this node.
+    pub(super) fn finish_by_other_claim(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         key: Digest,
         end: &ActionEnd,
     ) {
-        self.leave_limits(context, resources, key, LoadSignal::None);
-        let Some(action) = self.forget(key) else {
+        self.release_admission(context, resources, key, LoadSignal::None);
+        let Some(action) = self.remove(key) else {
             return;
         };
         for waiter in action.waiters {
-            self.give(context, &action.plan.service, waiter, end, true);
+            self.answer(context, &action.plan.service, waiter, end, true);
         }
     }
 
-    /// The key holds another payload.
-    pub(super) fn key_reused(
+    /// Refuses an action whose key was claimed with another payload.
+    pub(super) fn refuse_reused_key(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         key: Digest,
     ) {
-        self.leave_limits(context, resources, key, LoadSignal::None);
-        let Some(action) = self.forget(key) else {
+        self.release_admission(context, resources, key, LoadSignal::None);
+        let Some(action) = self.remove(key) else {
             return;
         };
         for waiter in action.waiters {
-            self.refuse(context, &action.plan.service, waiter, reused(waiter));
+            self.refuse(
+                context,
+                &action.plan.service,
+                waiter,
+                reused_key_refusal(waiter),
+            );
         }
     }
 
-    /// The action certainly did not run under this node's claim, and never will.
-    pub(super) fn give_up(
+    /// Refuses an action that did not run under this node's claim and never will.
+    pub(super) fn refuse_not_run(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -138,7 +146,7 @@
         detail: &str,
     ) {
         self.release_claim(context, key);
-        self.leave_limits(context, resources, key, LoadSignal::Normal);
+        self.release_admission(context, resources, key, LoadSignal::Normal);
         let refusal = Refusal {
             request_id: Default::default(),
             reason,
@@ -146,19 +154,19 @@
             retry_after: Some(super::RETRY_AFTER_NO_GROUP),
             detail: detail.to_owned(),
         };
-        self.forget_refused(context, key, &refusal);
+        self.remove_and_refuse(context, key, &refusal);
     }
 
-    /// The claim was not decided in time: this node ran nothing and never will, but another one
-    /// may have run the key.
-    pub(super) fn give_up_undecided(
+    /// Refuses an action whose claim was not decided in time. It did not run here, but may have run
+    /// at another node.
+    pub(super) fn refuse_undecided(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         key: Digest,
     ) {
         self.release_claim(context, key);
-        self.leave_limits(context, resources, key, LoadSignal::None);
+        self.release_admission(context, resources, key, LoadSignal::None);
         let refusal = Refusal {
             request_id: Default::default(),
             reason: RefusalReason::OutcomeUnknown,
@@ -168,17 +176,17 @@
                      this key may have run; ask again with the same key"
                 .to_owned(),
         };
-        self.forget_refused(context, key, &refusal);
+        self.remove_and_refuse(context, key, &refusal);
     }
 
-    /// Forgets an action that did not run, and says so to those who wait for it.
-    pub(super) fn forget_refused(
+    /// Removes an action that did not run here, and refuses its waiters.
+    pub(super) fn remove_and_refuse(
         &mut self,
         context: &mut Context<'_>,
         key: Digest,
         refusal: &Refusal,
     ) {
-        let Some(action) = self.forget(key) else {
+        let Some(action) = self.remove(key) else {
             return;
         };
         for waiter in action.waiters {
@@ -190,8 +198,8 @@
         }
     }
 
-    /// Refuses those whose own time is over, as the action's phase allows to say.
-    pub(super) fn refuse_overdue(&mut self, context: &mut Context<'_>, key: Digest) {
+    /// Refuses the waiters whose deadline has passed, with a reason that fits the action's phase.
+    pub(super) fn refuse_expired_waiters(&mut self, context: &mut Context<'_>, key: Digest) {
         let Some(action) = self.owned.get_mut(&key) else {
             return;
         };
@@ -201,10 +209,10 @@
             Phase::Queued => (RefusalReason::DeadlineExceeded, Executed::No),
             _ => (RefusalReason::OutcomeUnknown, Executed::Unknown),
         };
-        // The one whose deadline is the action's own is answered with the action's end, unless an
-        // attempt runs: that may end much later.
+        // A waiter whose deadline is the action's own receives the action's end, except while an
+        // attempt is running: an attempt may end much later.
         let runs = matches!(action.phase, Phase::Running { .. });
-        // Who waits for its turn is refused by the limits.
+        // The limits refuse queued actions themselves.
         let ends_now = action.deadline <= now;
         let overdue = |waiter: &Waiter| waiter.deadline <= now && (runs || !ends_now);
         let service = action.plan.service.clone();
@@ -222,33 +230,33 @@
         }
     }
 
-    pub(super) fn forget_if_old(&mut self, now: Timestamp, key: Digest) {
+    pub(super) fn remove_if_expired(&mut self, now: Timestamp, key: Digest) {
         let Some(action) = self.owned.get(&key) else {
             return;
         };
         if let Phase::Ended { at, .. } = action.phase {
             let forget = at + self.parameters.owner_retention;
             if forget <= now {
-                // Who asks later must not be told that it never ran.
-                self.forgotten_claims = self.forgotten_claims.max(action.claim.sequence);
-                self.forget(key);
+                // A later owner query must not be answered with `NeverRun`.
+                self.highest_removed_claim = self.highest_removed_claim.max(action.claim.sequence);
+                self.remove(key);
             } else {
-                self.wake_at(key, forget);
+                self.schedule_check(key, forget);
             }
         }
     }
 
-    fn forget(&mut self, key: Digest) -> Option<OwnedAction> {
+    fn remove(&mut self, key: Digest) -> Option<OwnedAction> {
         let action = self.owned.remove(&key)?;
-        self.open -= usize::from(action.is_open());
-        self.requests.remove(&action.request);
-        if let Some(wake) = action.wake {
-            self.timers.remove(&(wake, key));
+        self.open_actions -= usize::from(action.is_open());
+        self.keys_by_request.remove(&action.request);
+        if let Some(next_check) = action.next_check {
+            self.timers.remove(&(next_check, key));
         }
         Some(action)
     }
 
-    fn give(
+    fn answer(
         &mut self,
         context: &mut Context<'_>,
         service: &ServiceName,
@@ -266,7 +274,7 @@
                     false => &mut self.counters.answered,
                 };
                 *counter += 1;
-                self.callers.remove(&waiter.caller);
+                self.keys_by_caller.remove(&waiter.caller);
                 context.act(Action::Observe(Observation::RequestFinished {
                     service: service.clone(),
                     latency: context.now.since(waiter.arrived),
@@ -300,7 +308,7 @@
         refusal: Refusal,
     ) {
         let caller = waiter.caller;
-        self.callers.remove(&caller);
+        self.keys_by_caller.remove(&caller);
         context.act(Action::Observe(Observation::RequestFinished {
             service: service.clone(),
             latency: context.now.since(waiter.arrived),
@@ -315,7 +323,7 @@
     }
 }
 
-fn reused(waiter: Waiter) -> Refusal {
+fn reused_key_refusal(waiter: Waiter) -> Refusal {
     Refusal {
         request_id: waiter.request,
         reason: RefusalReason::KeyReused,
--- a/crates/thornbridge-core/src/action/claim_table.rs
+++ b/crates/thornbridge-core/src/action/claim_table.rs
@@ -1,4 +1,4 @@
-//! Claims as one member of a group keeps them.
+//! Claims stored by one member of the claim group.
 
 use super::parameters::ActionParameters;
 use crate::time::Timestamp;
@@ -8,32 +8,33 @@
 use thornbridge_proto::Digest;
 use thornbridge_proto::peer::action::{ActionEnd, Claim, ClaimId, ClaimRecord, ClaimVerdict};
 
-/// Claims that a full table looks at before it refuses one.
-const MOST_LOOKED_AT_FOR_ROOM: usize = 16;
+/// Maximum entries that a full table examines for eviction before it refuses a claim.
+const MAX_EVICTION_SCAN: usize = 16;
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct ClaimEntry {
     claim: Claim,
-    /// Other claims on the key, handed over by members that had granted those. One of them may
-    /// have won, and so nobody is granted the key until all but one are released.
+    /// Other claims on the key, received in handovers. One of them may have won, so the key is
+    /// granted to nobody until only one claim is left.
     rivals: Vec<Claim>,
     end: Option<ActionEnd>,
     granted: Timestamp,
 }
 
-/// Claims by key. Bounded: a full table drops ended claims early, but none before the least
-/// retention is over, and then grants nothing.
+/// Claims by key, bounded. When full, evicts ended claims older than the minimum retention, and
+/// refuses new claims if there are none.
 #[derive(Debug)]
 pub(super) struct ClaimTable {
-    maximum: usize,
+    capacity: usize,
     retention: Duration,
     least_retention: Duration,
-    kept: BTreeMap<Digest, Kept>,
-    /// Keys in the order of their grants; an entry whose claim is gone or newer is skipped.
-    by_age: VecDeque<(Timestamp, Digest)>,
+    entries: BTreeMap<Digest, ClaimEntry>,
+    /// Keys in the order of their grants; keys whose claim was removed or granted again are
+    /// skipped.
+    by_grant_time: VecDeque<(Timestamp, Digest)>,
 }
 
-/// A page of a table.
+/// One page of claim records.
 pub(super) struct TablePage {
     pub(super) records: Vec<ClaimRecord>,
     pub(super) last: bool,
@@ -42,127 +43,132 @@
 impl ClaimTable {
     pub(super) fn new(parameters: &ActionParameters) -> Self {
         Self {
-            maximum: parameters.maximum_claims,
+            capacity: parameters.maximum_claims,
             retention: parameters.retention,
             least_retention: parameters.least_retention,
-            kept: BTreeMap::new(),
-            by_age: VecDeque::new(),
+            entries: BTreeMap::new(),
+            by_grant_time: VecDeque::new(),
         }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.kept.len()
+        self.entries.len()
     }
 
-    /// Grants a key to the first claim on it, again and again to the same one.
+    /// Grants a key to the first claim on it. Repeats of that claim are granted again.
     pub(super) fn claim(&mut self, now: Timestamp, claim: Claim) -> ClaimVerdict {
-        self.forget_old(now);
-        if let Some(kept) = self.kept.get(&claim.key) {
-            return kept.verdict(&claim);
+        self.remove_expired(now);
+        if let Some(entry) = self.entries.get(&claim.key) {
+            return entry.verdict(&claim);
         }
-        if self.kept.len() >= self.maximum && !self.make_room(now) {
+        if self.entries.len() >= self.capacity && !self.evict_oldest_ended(now) {
             return ClaimVerdict::Full;
         }
-        self.keep(now, claim, None);
+        self.insert(now, claim, None);
         ClaimVerdict::Granted
     }
 
-    /// Forgets a claim of which its owner says that it did not run and never will.
+    /// Removes a claim that did not run and never will.
     pub(super) fn release(&mut self, key: &Digest, claim: ClaimId) {
-        let Some(kept) = self.kept.get_mut(key).filter(|kept| kept.end.is_none()) else {
+        let Some(entry) = self
+            .entries
+            .get_mut(key)
+            .filter(|entry| entry.end.is_none())
+        else {
             return;
         };
-        kept.rivals.retain(|rival| rival.id != claim);
-        if kept.claim.id != claim {
+        entry.rivals.retain(|rival| rival.id != claim);
+        if entry.claim.id != claim {
             return;
         }
-        match kept.rivals.pop() {
-            Some(rival) => kept.claim = rival,
+        match entry.rivals.pop() {
+            Some(rival) => entry.claim = rival,
             None => {
-                self.kept.remove(key);
+                self.entries.remove(key);
             }
         }
     }
 
-    /// Records how a claim ended. Only a claim that won can end, so it stands before any other.
+    /// Records the end of a claim. Only a claim that won can end, so it replaces any other claim.
     pub(super) fn ended(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
-        match self.kept.get_mut(&claim.key) {
-            Some(kept) => kept.end_with(claim, end),
-            None => self.keep(now, claim, Some(end)),
+        match self.entries.get_mut(&claim.key) {
+            Some(entry) => entry.set_end(claim, end),
+            None => self.insert(now, claim, Some(end)),
         }
     }
 
-    /// Takes in a record from another member's table.
-    pub(super) fn take_over(&mut self, now: Timestamp, record: ClaimRecord) {
+    /// Merges a record from another member's table.
+    pub(super) fn merge_record(&mut self, now: Timestamp, record: ClaimRecord) {
         let granted = now - record.age;
-        let Some(kept) = self.kept.get_mut(&record.claim.key) else {
-            return self.keep(granted, record.claim, record.end);
+        let Some(entry) = self.entries.get_mut(&record.claim.key) else {
+            return self.insert(granted, record.claim, record.end);
         };
-        kept.granted = kept.granted.max(granted);
+        entry.granted = entry.granted.max(granted);
         match record.end {
-            Some(end) => kept.end_with(record.claim, end),
-            None => kept.add_rival(record.claim),
+            Some(end) => entry.set_end(record.claim, end),
+            None => entry.add_rival(record.claim),
         }
     }
 
-    fn keep(&mut self, granted: Timestamp, claim: Claim, end: Option<ActionEnd>) {
-        self.by_age.push_back((granted, claim.key));
-        let kept = Kept {
+    fn insert(&mut self, granted: Timestamp, claim: Claim, end: Option<ActionEnd>) {
+        self.by_grant_time.push_back((granted, claim.key));
+        let entry = ClaimEntry {
             claim,
             rivals: Vec::new(),
             end,
             granted,
         };
-        self.kept.insert(kept.claim.key, kept);
+        self.entries.insert(entry.claim.key, entry);
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        while let Some((granted, key)) = self.by_age.front().copied() {
+    fn remove_expired(&mut self, now: Timestamp) {
+        while let Some((granted, key)) = self.by_grant_time.front().copied() {
             if granted + self.retention > now {
                 return;
             }
-            self.by_age.pop_front();
-            let Some(kept) = self.kept.get(&key) else {
+            self.by_grant_time.pop_front();
+            let Some(entry) = self.entries.get(&key) else {
                 continue;
             };
-            if kept.granted + self.retention <= now {
-                self.kept.remove(&key);
+            if entry.granted + self.retention <= now {
+                self.entries.remove(&key);
             } else {
-                self.by_age.push_back((kept.granted, key));
+                self.by_grant_time.push_back((entry.granted, key));
             }
         }
     }
 
-    /// Forgets the oldest claim that ended and is past the least retention, if there is one soon.
-    fn make_room(&mut self, now: Timestamp) -> bool {
-        for _ in 0..MOST_LOOKED_AT_FOR_ROOM {
-            let Some((granted, key)) = self.by_age.front().copied() else {
+    /// Removes the oldest ended claim past the minimum retention; false if the entries examined
+    /// include none.
+    fn evict_oldest_ended(&mut self, now: Timestamp) -> bool {
+        for _ in 0..MAX_EVICTION_SCAN {
+            let Some((granted, key)) = self.by_grant_time.front().copied() else {
                 return false;
             };
             if granted + self.least_retention > now {
                 return false;
             }
-            self.by_age.pop_front();
-            match self.kept.get(&key) {
+            self.by_grant_time.pop_front();
+            match self.entries.get(&key) {
                 None => {}
-                Some(kept) if kept.end.is_some() && kept.granted <= granted => {
-                    self.kept.remove(&key);
+                Some(entry) if entry.end.is_some() && entry.granted <= granted => {
+                    self.entries.remove(&key);
                     return true;
                 }
-                // Not ended: looked at again when the others were.
-                Some(_) => self.by_age.push_back((now, key)),
+                // Not ended: moved to the back of the queue.
+                Some(_) => self.by_grant_time.push_back((now, key)),
             }
         }
         false
     }
 
-    /// The records after a key, in the order of keys.
-    pub(super) fn page(&self, now: Timestamp, after: Option<Digest>, most: usize) -> TablePage {
+    /// Up to `limit` entries after a key, in key order.
+    pub(super) fn page(&self, now: Timestamp, after: Option<Digest>, limit: usize) -> TablePage {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut rest = self.kept.range((start, Bound::Unbounded));
+        let mut rest = self.entries.range((start, Bound::Unbounded));
         let mut records = Vec::new();
-        for (_, kept) in rest.by_ref().take(most) {
-            records.extend(kept.records(now));
+        for (_, entry) in rest.by_ref().take(limit) {
+            records.extend(entry.records(now));
         }
         TablePage {
             records,
@@ -171,27 +177,27 @@
     }
 }
 
-impl Kept {
+impl ClaimEntry {
     fn verdict(&self, claim: &Claim) -> ClaimVerdict {
         let other = std::iter::once(&self.claim)
             .chain(&self.rivals)
-            .find(|kept| kept.id != claim.id);
+            .find(|entry| entry.id != claim.id);
         match (other, &self.end) {
             (None, None) => ClaimVerdict::Granted,
-            (None, Some(_)) => self.held(&self.claim),
-            (Some(_), Some(_)) => self.held(&self.claim),
-            (Some(other), None) => self.held(other),
+            (None, Some(_)) => self.held_verdict(&self.claim),
+            (Some(_), Some(_)) => self.held_verdict(&self.claim),
+            (Some(other), None) => self.held_verdict(other),
         }
     }
 
-    fn held(&self, claim: &Claim) -> ClaimVerdict {
+    fn held_verdict(&self, claim: &Claim) -> ClaimVerdict {
         ClaimVerdict::Held {
             claim: claim.clone(),
             end: self.end.clone(),
         }
     }
 
-    fn end_with(&mut self, claim: Claim, end: ActionEnd) {
+    fn set_end(&mut self, claim: Claim, end: ActionEnd) {
         if self.end.is_some() {
             return;
         }
@@ -201,8 +207,8 @@
     }
 
     fn add_rival(&mut self, claim: Claim) {
-        let known = self.claim.id == claim.id || self.rivals.iter().any(|it| it.id == claim.id);
-        if self.end.is_none() && !known {
+        let is_known = self.claim.id == claim.id || self.rivals.iter().any(|it| it.id == claim.id);
+        if self.end.is_none() && !is_known {
             self.rivals.push(claim);
         }
     }
--- a/crates/thornbridge-core/src/action/claiming.rs
+++ b/crates/thornbridge-core/src/action/claiming.rs
@@ -1,7 +1,7 @@
-//! Claiming a key at the group, and asking its owner where another claim holds it.
+//! Claiming a key at the claim group, and querying the owner of a claim that already holds the key.
 
 use super::ActionEngine;
-use super::owned::{Phase, Votes};
+use super::owned_action::{Phase, Votes};
 use crate::context::Context;
 use crate::resources::Resources;
 use crate::time::Timestamp;
@@ -14,15 +14,16 @@
     ActionEnd, ActionMessage, Claim, ClaimId, ClaimVerdict, GroupEpoch, OwnerAnswer,
 };
 
-/// Longest pause before a key is claimed again; drawn, so that two claimants part.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum backoff before a key is claimed again; randomized to keep two claimants from colliding
+/// repeatedly.
+const MAX_CLAIM_BACKOFF: Duration = Duration::from_millis(20);
 
 impl ActionEngine {
-    /// Begins to claim a key at the latest group.
-    pub(super) fn claim(&mut self, context: &mut Context<'_>, key: Digest) {
+    /// Starts claiming a key at the latest known group.
+    pub(super) fn start_claim(&mut self, context: &mut Context<'_>, key: Digest) {
         let votes = self.member.latest().map(Votes::new).unwrap_or_default();
         if votes.members.is_empty() {
-            self.ask_for_group(context);
+            self.request_group(context);
         }
         if let Some(action) = self.owned.get_mut(&key) {
             action.phase = Phase::Claiming(votes);
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Sends the claim to the members that have not answered. Those that leave are left out where
-    /// the others suffice.
+    /// Sends the claim to the members that have not answered. Leaving members are skipped if the
+    /// others form a majority.
     fn send_claims(&mut self, context: &mut Context<'_>, key: Digest) {
         let Some(action) = self.owned.get(&key) else {
             return;
@@ -43,7 +44,7 @@
         let epoch = votes.epoch;
         let unanswered = |member: &&PeerEndpoint| !votes.answers.contains_key(&member.node);
         let members: Vec<PeerEndpoint> = self
-            .fit_members(&votes.members)
+            .available_members(&votes.members)
             .iter()
             .filter(unanswered)
             .copied()
@@ -53,11 +54,11 @@
             let message = ActionMessage::Claim { epoch, claim };
             self.outbox.send(context, member, message);
         }
-        self.wake_at(key, context.now + self.parameters.resend_interval);
+        self.schedule_check(key, context.now + self.parameters.resend_interval);
     }
 
-    /// Members that take work, if they are a majority; else all.
-    fn fit_members(&self, members: &[PeerEndpoint]) -> Vec<PeerEndpoint> {
+    /// Members that accept work, if they form a majority; otherwise all members.
+    fn available_members(&self, members: &[PeerEndpoint]) -> Vec<PeerEndpoint> {
         let Some(view) = &self.view else {
             return members.to_vec();
         };
@@ -73,8 +74,8 @@
         }
     }
 
-    /// A member answered a claim.
-    pub(super) fn verdict(
+    /// Handles a member's verdict on a claim.
+    pub(super) fn handle_verdict(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -106,8 +107,8 @@
                 let same = holder.payload == action.plan.payload;
                 self.release_claim(context, key);
                 return match same {
-                    true => self.finish_for_other(context, resources, key, &end),
-                    false => self.key_reused(context, resources, key),
+                    true => self.finish_by_other_claim(context, resources, key, &end),
+                    false => self.refuse_reused_key(context, resources, key),
                 };
             }
             ClaimVerdict::Held { claim, end: None } => {
@@ -137,23 +138,23 @@
         };
         if votes.is_won() {
             self.counters.claims_won += 1;
-            return self.run_owned(context, resources, key);
+            return self.send_first_attempt(context, resources, key);
         }
         if !votes.is_lost() {
             return;
         }
         self.counters.claims_lost += 1;
         match votes.holder.clone() {
-            Some(holder) => self.ask_holder(context, resources, key, holder),
+            Some(holder) => self.query_owner(context, resources, key, holder),
             None => {
                 let detail = "the nodes that keep keys have no room; the action was not run";
-                self.give_up(context, resources, key, RefusalReason::Overloaded, detail);
+                self.refuse_not_run(context, resources, key, RefusalReason::Overloaded, detail);
             }
         }
     }
 
-    /// Another claim holds the key: withdraws the own claim for good, and asks the other's owner.
-    fn ask_holder(
+    /// Releases this node's claim and queries the owner of the claim that holds the key.
+    fn query_owner(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -165,33 +166,33 @@
         let Some(action) = self.owned.get_mut(&key) else {
             return;
         };
-        // A released claim is never used again: its release may still be on its way.
+        // A released claim is never reused: its release may still be in flight.
         action.claim = fresh;
         if holder.payload != action.plan.payload {
-            return self.key_reused(context, resources, key);
+            return self.refuse_reused_key(context, resources, key);
         }
-        action.phase = Phase::Asking {
+        action.phase = Phase::QueryingOwner {
             holder,
             since: context.now,
         };
-        self.send_question(context, key);
+        self.send_owner_query(context, key);
     }
 
-    fn send_question(&mut self, context: &mut Context<'_>, key: Digest) {
+    fn send_owner_query(&mut self, context: &mut Context<'_>, key: Digest) {
         let Some(action) = self.owned.get(&key) else {
             return;
         };
-        if let Phase::Asking { holder, .. } = &action.phase {
+        if let Phase::QueryingOwner { holder, .. } = &action.phase {
             let claim = holder.id;
             let owner = holder.owner;
             let message = ActionMessage::Ask { claim, key };
             self.outbox.send(context, owner, message);
         }
-        self.wake_at(key, context.now + self.parameters.resend_interval);
+        self.schedule_check(key, context.now + self.parameters.resend_interval);
     }
 
-    /// The owner of a claim that held the key answered.
-    pub(super) fn told(
+    /// Handles the answer of the owner of the claim that holds the key.
+    pub(super) fn handle_owner_answer(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -202,7 +203,7 @@
         let Some(action) = self.owned.get_mut(&key) else {
             return;
         };
-        let Phase::Asking { holder, .. } = &action.phase else {
+        let Phase::QueryingOwner { holder, .. } = &action.phase else {
             return;
         };
         if holder.id != claim {
@@ -210,21 +211,23 @@
         }
         match answer {
             OwnerAnswer::Running => {}
-            OwnerAnswer::Ended(end) => self.finish_for_other(context, resources, key, &end),
-            OwnerAnswer::Gone => self.owner_is_gone(context, resources, key),
+            OwnerAnswer::Ended(end) => self.finish_by_other_claim(context, resources, key, &end),
+            OwnerAnswer::Gone => self.finish_owner_lost(context, resources, key),
             OwnerAnswer::NeverRun => {
-                self.release_everywhere(context, key, claim);
-                let pause = context.random.random_range(Duration::ZERO..LONGEST_BACKOFF);
+                self.broadcast_release(context, key, claim);
+                let pause = context
+                    .random
+                    .random_range(Duration::ZERO..MAX_CLAIM_BACKOFF);
                 let until = context.now + pause;
                 if let Some(action) = self.owned.get_mut(&key) {
                     action.phase = Phase::Backoff { until };
                 }
-                self.wake_at(key, until);
+                self.schedule_check(key, until);
             }
         }
     }
 
-    fn owner_is_gone(
+    fn finish_owner_lost(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -240,17 +243,17 @@
                 .to_owned(),
         };
         let end = ActionEnd::Failed { refusal };
-        self.finish_for_other(context, resources, key, &end);
+        self.finish_by_other_claim(context, resources, key, &end);
     }
 
-    /// Looks at an action whose time has come.
-    pub(super) fn look(
+    /// Performs what is due for an action: refusals, resends, retries or removal.
+    pub(super) fn check_action(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         key: Digest,
     ) {
-        self.refuse_overdue(context, key);
+        self.refuse_expired_waiters(context, key);
         let Some(action) = self.owned.get(&key) else {
             return;
         };
@@ -259,51 +262,51 @@
         match &action.phase {
             Phase::Queued => {}
             Phase::Claiming(_) | Phase::Backoff { .. } if overdue => {
-                self.give_up_undecided(context, resources, key);
+                self.refuse_undecided(context, resources, key);
             }
             Phase::Claiming(votes) => {
                 let latest = self.member.latest().map(|group| group.epoch);
                 match latest.is_some_and(|latest| latest > votes.epoch) {
-                    true => self.claim(context, key),
-                    false => self.ask_or_resend(context, key),
+                    true => self.start_claim(context, key),
+                    false => self.resend_claims(context, key),
                 }
             }
-            Phase::Backoff { until } if *until <= now => self.claim(context, key),
-            Phase::Backoff { until } => self.wake_at(key, *until),
-            Phase::Asking { holder, since } => {
-                let known = self.knows(holder.owner);
-                let patience = self.parameters.unknown_owner_patience;
-                let lost = !known && now.since(*since) >= patience;
+            Phase::Backoff { until } if *until <= now => self.start_claim(context, key),
+            Phase::Backoff { until } => self.schedule_check(key, *until),
+            Phase::QueryingOwner { holder, since } => {
+                let known = self.is_known_member(holder.owner);
+                let timeout = self.parameters.unknown_owner_patience;
+                let lost = !known && now.since(*since) >= timeout;
                 match overdue || lost {
-                    true => self.owner_is_gone(context, resources, key),
-                    false => self.send_question(context, key),
+                    true => self.finish_owner_lost(context, resources, key),
+                    false => self.send_owner_query(context, key),
                 }
             }
-            Phase::Running { .. } => self.look_at_attempt(context, resources, key),
-            Phase::Ended { .. } => self.forget_if_old(now, key),
+            Phase::Running { .. } => self.check_attempt(context, resources, key),
+            Phase::Ended { .. } => self.remove_if_expired(now, key),
         }
     }
 
-    fn ask_or_resend(&mut self, context: &mut Context<'_>, key: Digest) {
+    fn resend_claims(&mut self, context: &mut Context<'_>, key: Digest) {
         if self.member.latest().is_none() {
-            self.ask_for_group(context);
+            self.request_group(context);
         }
         self.send_claims(context, key);
     }
 
-    fn knows(&self, owner: PeerEndpoint) -> bool {
+    fn is_known_member(&self, owner: PeerEndpoint) -> bool {
         let view = self.view.as_ref();
         view.is_some_and(|view| view.member(owner.node).is_some())
     }
 
-    /// Tells the group that the action's claim never runs.
+    /// Releases the action's claim at all members of the group.
     pub(super) fn release_claim(&mut self, context: &mut Context<'_>, key: Digest) {
         if let Some(action) = self.owned.get(&key) {
-            self.release_everywhere(context, key, action.claim);
+            self.broadcast_release(context, key, action.claim);
         }
     }
 
-    fn release_everywhere(&mut self, context: &mut Context<'_>, key: Digest, claim: ClaimId) {
+    fn broadcast_release(&mut self, context: &mut Context<'_>, key: Digest, claim: ClaimId) {
         for member in self.group_members() {
             let message = ActionMessage::Release { key, claim };
             self.outbox.send(context, member, message);
@@ -315,14 +318,14 @@
         latest.map_or_else(Vec::new, |group| group.members.clone())
     }
 
-    /// Sets when an action is looked at next, unless that is sooner.
-    pub(super) fn wake_at(&mut self, key: Digest, at: Timestamp) {
+    /// Schedules the action's next check: at `at`, or at the earliest deadline of a waiter.
+    pub(super) fn schedule_check(&mut self, key: Digest, at: Timestamp) {
         let Some(action) = self.owned.get_mut(&key) else {
             return;
         };
-        let by_waiter = action.waiters.iter().map(|waiter| waiter.deadline).min();
-        let at = by_waiter.map_or(at, |deadline| deadline.min(at));
-        if let Some(old) = action.wake.replace(at) {
+        let first_deadline = action.waiters.iter().map(|waiter| waiter.deadline).min();
+        let at = first_deadline.map_or(at, |deadline| deadline.min(at));
+        if let Some(old) = action.next_check.replace(at) {
             self.timers.remove(&(old, key));
         }
         self.timers.insert((at, key));
--- a/crates/thornbridge-core/src/action/decider.rs
+++ b/crates/thornbridge-core/src/action/decider.rs
@@ -1,5 +1,5 @@
-//! Deciding on the next claim group: by the nodes that read the platform, through
-//! compare-and-swap on one object, so that each epoch has one group.
+//! Selection of the next claim group by the platform readers. Each epoch has one group, since
+//! groups are written by compare-and-swap on one stored object.
 
 use super::group::{GROUP_NAME, choose_members, is_member, majority, needs_change};
 use super::parameters::ActionParameters;
@@ -17,62 +17,60 @@
 
 /// Epoch of the first group of a deployment.
 const FIRST_EPOCH: u64 = 1;
-/// Members from which on a group bears the loss of one.
-const SMALLEST_SAFE_GROUP: usize = 3;
+/// Smallest group that tolerates the loss of one member.
+const MIN_REDUNDANT_MEMBERS: usize = 3;
 
-/// What was asked of the platform.
+/// A request to the platform.
 #[derive(Debug)]
-enum Question {
+enum StoreRequest {
     Read,
     Write(ClaimGroup),
 }
 
-/// The part of a platform reader in deciding on groups.
+/// State of a node in selecting claim groups; active while the node reads the platform.
 #[derive(Debug)]
 pub(super) struct GroupDecider {
-    reading: bool,
+    is_reader: bool,
     next_check: Option<Timestamp>,
-    /// Since when a change of the group is wanted.
-    wanted_since: Option<Timestamp>,
-    /// Members that said that they decide in the epoch.
+    /// When a change of the group was first found necessary.
+    change_needed_since: Option<Timestamp>,
+    /// Members that reported that they grant claims in `deciding_epoch`.
     deciding: BTreeSet<NodeId>,
     deciding_epoch: GroupEpoch,
-    queued: Option<(Question, PlatformRequest)>,
-    asked: Option<(OperationId, Question)>,
-    /// Whether the store failed last time: then it is asked less often.
+    queued: Option<(StoreRequest, PlatformRequest)>,
+    in_flight: Option<(OperationId, StoreRequest)>,
+    /// Whether the last request to the store failed. Checks then use the longer interval.
     store_failed: bool,
-    /// Groups written.
     pub(super) groups_decided: u64,
 }
 
 impl GroupDecider {
     pub(super) fn new() -> Self {
         Self {
-            reading: false,
+            is_reader: false,
             next_check: None,
-            wanted_since: None,
+            change_needed_since: None,
             deciding: BTreeSet::new(),
             deciding_epoch: GroupEpoch(0),
             queued: None,
-            asked: None,
+            in_flight: None,
             store_failed: false,
             groups_decided: 0,
         }
     }
 
-    /// Whether this node reads the platform now.
     pub(super) fn set_reading(&mut self, now: Timestamp, reading: bool) {
-        if reading == self.reading {
+        if reading == self.is_reader {
             return;
         }
-        self.reading = reading;
+        self.is_reader = reading;
         self.next_check = reading.then_some(now);
-        self.wanted_since = None;
+        self.change_needed_since = None;
         self.queued = None;
     }
 
-    /// A member says that it decides.
-    pub(super) fn member_decides(&mut self, member: NodeId, epoch: GroupEpoch) {
+    /// Records that a member grants claims in an epoch.
+    pub(super) fn record_deciding(&mut self, member: NodeId, epoch: GroupEpoch) {
         if epoch > self.deciding_epoch {
             self.deciding_epoch = epoch;
             self.deciding.clear();
@@ -86,7 +84,8 @@
         self.next_check
     }
 
-    /// Looks whether the group should change. Gives the members that are to be told of it.
+    /// Checks whether the group has to change. Returns the members that have not yet reported that
+    /// they grant claims.
     pub(super) fn check(
         &mut self,
         now: Timestamp,
@@ -97,28 +96,30 @@
         if self.next_check.is_none_or(|due| due > now) {
             return Vec::new();
         }
-        let wanted =
+        let needed =
             latest.is_none_or(|latest| needs_change(view, latest, parameters.group_members));
-        let untold = latest.map_or(Vec::new(), |latest| self.not_deciding(latest));
-        let settled = !wanted && untold.is_empty() || self.store_failed;
-        self.next_check = Some(match settled {
+        let not_deciding_members =
+            latest.map_or(Vec::new(), |latest| self.members_not_deciding(latest));
+        let is_settled = !needed && not_deciding_members.is_empty() || self.store_failed;
+        self.next_check = Some(match is_settled {
             true => now + parameters.group_check_interval,
             false => now + parameters.group_change_interval,
         });
-        if !wanted {
-            self.wanted_since = None;
+        if !needed {
+            self.change_needed_since = None;
         } else {
-            let since = *self.wanted_since.get_or_insert(now);
-            let urgent =
-                latest.is_none_or(|latest| someone_leaves(view, latest) || is_frail(view, latest));
-            if urgent || now.since(since) >= parameters.replacement_delay {
-                self.read();
+            let since = *self.change_needed_since.get_or_insert(now);
+            let is_urgent = latest.is_none_or(|latest| {
+                has_leaving_member(view, latest) || lacks_redundancy(view, latest)
+            });
+            if is_urgent || now.since(since) >= parameters.replacement_delay {
+                self.queue_read();
             }
         }
-        untold
+        not_deciding_members
     }
 
-    fn not_deciding(&self, latest: &ClaimGroup) -> Vec<PeerEndpoint> {
+    fn members_not_deciding(&self, latest: &ClaimGroup) -> Vec<PeerEndpoint> {
         let decides = |member: &PeerEndpoint| {
             self.deciding_epoch == latest.epoch && self.deciding.contains(&member.node)
         };
@@ -126,31 +127,30 @@
         members.filter(|member| !decides(member)).collect()
     }
 
-    fn read(&mut self) {
-        if self.queued.is_some() || self.asked.is_some() {
+    fn queue_read(&mut self) {
+        if self.queued.is_some() || self.in_flight.is_some() {
             return;
         }
         let request = PlatformRequest::Get {
             kind: ObjectKind::ClaimGroup,
             name: GROUP_NAME.to_owned(),
         };
-        self.queued = Some((Question::Read, request));
+        self.queued = Some((StoreRequest::Read, request));
     }
 
-    /// The next request to the platform, which gets this identity.
+    /// Next request to the platform, sent under the given identifier.
     pub(super) fn poll_request(&mut self, operation: OperationId) -> Option<PlatformRequest> {
-        let (question, request) = self.queued.take()?;
-        self.asked = Some((operation, question));
+        let (request_kind, request) = self.queued.take()?;
+        self.in_flight = Some((operation, request_kind));
         Some(request)
     }
 
-    /// Whether [`Self::poll_request`] has one.
     pub(super) fn has_request(&self) -> bool {
         self.queued.is_some()
     }
 
-    /// Takes the platform's answer, if it is to this part's question. Gives the group that is
-    /// decided, as far as the answer shows.
+    /// Handles the platform's reply to the request in flight. Returns the group that the reply
+    /// shows to be decided, if any.
     pub(super) fn platform_reply(
         &mut self,
         now: Timestamp,
@@ -160,30 +160,30 @@
         view: &MemberView,
         latest: Option<&ClaimGroup>,
     ) -> Option<ClaimGroup> {
-        if self.asked.as_ref()?.0 != operation {
+        if self.in_flight.as_ref()?.0 != operation {
             return None;
         }
-        let (_, question) = self.asked.take()?;
+        let (_, request_kind) = self.in_flight.take()?;
         self.store_failed = !matches!(result, Ok(_) | Err(PlatformFailure::Conflict { .. }));
-        match (question, result) {
-            (Question::Read, Ok(PlatformResponse::Object(object))) => {
-                self.read_answered(now, object.as_ref(), parameters, view, latest)
+        match (request_kind, result) {
+            (StoreRequest::Read, Ok(PlatformResponse::Object(object))) => {
+                self.handle_read(now, object.as_ref(), parameters, view, latest)
             }
-            (Question::Write(group), Ok(PlatformResponse::Written { .. })) => {
+            (StoreRequest::Write(group), Ok(PlatformResponse::Written { .. })) => {
                 self.groups_decided += 1;
-                self.wanted_since = None;
+                self.change_needed_since = None;
                 Some(group)
             }
             (_, Err(PlatformFailure::Conflict { current })) => {
                 let (group, _) = decode(current.as_ref()?)?;
                 Some(group)
             }
-            // Whether a write took effect is seen at the next check, by reading.
+            // After a failed write, the next check reads whether it took effect.
             _ => None,
         }
     }
 
-    fn read_answered(
+    fn handle_read(
         &mut self,
         now: Timestamp,
         object: Option<&StoredObject>,
@@ -191,26 +191,28 @@
         view: &MemberView,
         latest: Option<&ClaimGroup>,
     ) -> Option<ClaimGroup> {
-        if !self.reading {
+        if !self.is_reader {
             return None;
         }
         let Some(object) = object else {
             match latest {
                 Some(latest) if self.is_lost(now, latest, parameters, view) => {
-                    self.write_first(latest.epoch.0 + 1, parameters, view);
+                    self.write_initial(latest.epoch.0 + 1, parameters, view);
                 }
-                Some(latest) => self.follow(latest, Precondition::Absent, parameters, view),
-                None => self.write_first(FIRST_EPOCH, parameters, view),
+                Some(latest) => {
+                    self.write_successor(latest, Precondition::Absent, parameters, view)
+                }
+                None => self.write_initial(FIRST_EPOCH, parameters, view),
             }
             return None;
         };
         let (group, version) = decode(object)?;
-        self.follow(&group, Precondition::Version(version), parameters, view);
+        self.write_successor(&group, Precondition::Version(version), parameters, view);
         Some(group)
     }
 
-    /// Whether most of a group has been gone for long. Only then, and only where an operator
-    /// deleted the object, its claims are given up.
+    /// Whether a group's claims may be abandoned: its majority has been unavailable for long.
+    /// Checked only where an operator deleted the object.
     fn is_lost(
         &self,
         now: Timestamp,
@@ -218,12 +220,12 @@
         parameters: &ActionParameters,
         view: &MemberView,
     ) -> bool {
-        let since = self.wanted_since.unwrap_or(now);
-        !self.decides(view, group) && now.since(since) >= parameters.lost_group_patience
+        let since = self.change_needed_since.unwrap_or(now);
+        !self.is_deciding(view, group) && now.since(since) >= parameters.lost_group_patience
     }
 
-    /// Whether a majority of a group said that it decides, and is still there to hand over.
-    fn decides(&self, view: &MemberView, group: &ClaimGroup) -> bool {
+    /// Whether a majority of the group grants claims and is still in the member list.
+    fn is_deciding(&self, view: &MemberView, group: &ClaimGroup) -> bool {
         let decides = |member: &&PeerEndpoint| {
             self.deciding.contains(&member.node) && view.member(member.node).is_some()
         };
@@ -231,29 +233,30 @@
         self.deciding_epoch == group.epoch && deciding >= majority(group.members.len())
     }
 
-    /// Proposes a group that takes nothing over.
-    fn write_first(&mut self, epoch: u64, parameters: &ActionParameters, view: &MemberView) {
+    /// Proposes a group without a predecessor.
+    fn write_initial(&mut self, epoch: u64, parameters: &ActionParameters, view: &MemberView) {
         let group = ClaimGroup {
             epoch: GroupEpoch(epoch),
             members: choose_members(view, &[], parameters.group_members),
             previous: Vec::new(),
         };
         if !group.members.is_empty() {
-            self.write(group, Precondition::Absent);
+            self.queue_write(group, Precondition::Absent);
         }
     }
 
-    /// Proposes the group after this one, where it is wanted and can take over.
-    fn follow(
+    /// Proposes the next group, if a change is needed and the current group can hand its claims
+    /// over.
+    fn write_successor(
         &mut self,
         group: &ClaimGroup,
         precondition: Precondition,
         parameters: &ActionParameters,
         view: &MemberView,
     ) {
-        // A group that does not decide yet has nothing to hand over: its followers would wait
-        // for it in vain.
-        if !self.decides(view, group) || !needs_change(view, group, parameters.group_members) {
+        // A group that grants nothing yet cannot hand claims over, and its successor would wait
+        // forever.
+        if !self.is_deciding(view, group) || !needs_change(view, group, parameters.group_members) {
             return;
         }
         let next = ClaimGroup {
@@ -262,11 +265,11 @@
             previous: group.members.clone(),
         };
         if !next.members.is_empty() {
-            self.write(next, precondition);
+            self.queue_write(next, precondition);
         }
     }
 
-    fn write(&mut self, group: ClaimGroup, precondition: Precondition) {
+    fn queue_write(&mut self, group: ClaimGroup, precondition: Precondition) {
         let Ok(body) = serde_json::to_string(&group) else {
             return;
         };
@@ -276,7 +279,7 @@
             body,
             precondition,
         };
-        self.queued = Some((Question::Write(group), request));
+        self.queued = Some((StoreRequest::Write(group), request));
     }
 }
 
@@ -285,14 +288,14 @@
     Some((group, object.resource_version))
 }
 
-/// Whether the loss of one member would be the loss of the group, and other nodes could join.
-fn is_frail(view: &MemberView, group: &ClaimGroup) -> bool {
-    group.members.len() < SMALLEST_SAFE_GROUP
-        && view.accepting_work().count() >= SMALLEST_SAFE_GROUP
+/// Whether the group does not tolerate the loss of one member although enough nodes accept work.
+fn lacks_redundancy(view: &MemberView, group: &ClaimGroup) -> bool {
+    group.members.len() < MIN_REDUNDANT_MEMBERS
+        && view.accepting_work().count() >= MIN_REDUNDANT_MEMBERS
 }
 
-/// Whether a member announced that it leaves: it waits to be replaced.
-fn someone_leaves(view: &MemberView, group: &ClaimGroup) -> bool {
+/// Whether a member is leaving and waits for its replacement.
+fn has_leaving_member(view: &MemberView, group: &ClaimGroup) -> bool {
     view.members().iter().any(|member| {
         member.state == thornbridge_proto::peer::membership::MemberState::Leaving
             && is_member(&group.members, member.endpoint.node)
--- a/crates/thornbridge-core/src/action/member.rs
+++ b/crates/thornbridge-core/src/action/group_member.rs
@@ -1,9 +1,9 @@
-//! One node's part in the claim group: granting, being sealed, and taking over.
+//! A member of the claim group: grants claims, and hands them over to the next group.
 //!
-//! A member grants only in an epoch in which it is *deciding*. It starts to decide in an epoch
-//! when a majority of the epoch before has handed its claims over, and stops for good when it
-//! learns of the next epoch. So a claim that won a majority in one epoch is known to every
-//! member that decides in the next.
+//! A member grants claims only in an epoch in which it is *deciding*. It starts deciding once a
+//! majority of the previous epoch's group has handed its claims over, and stops when it learns of a
+//! later epoch. A claim that won a majority in one epoch is therefore known to every member that
+//! decides in the next.
 
 use super::claim_table::ClaimTable;
 use super::group::{is_member, majority};
@@ -18,39 +18,39 @@
 };
 use thornbridge_proto::{Digest, NodeId};
 
-/// How far one member of the epoch before has handed over.
+/// Progress of the handover from one member of the previous epoch.
 #[derive(Clone, Copy, Debug, Default)]
 struct Handover {
     after: Option<Digest>,
     complete: bool,
 }
 
-/// Taking over from the epoch before.
+/// Handover from the previous epoch.
 #[derive(Debug)]
 struct Joining {
     previous: Vec<PeerEndpoint>,
     handovers: BTreeMap<NodeId, Handover>,
-    ask_again: Timestamp,
+    retry_at: Timestamp,
 }
 
-/// One node as a member of claim groups.
+/// State of a node as a member of claim groups.
 #[derive(Debug)]
 pub(super) struct GroupMember {
     latest: Option<ClaimGroup>,
     table: ClaimTable,
-    /// The epoch in which it grants.
+    /// Epoch in which this node grants claims.
     deciding: Option<GroupEpoch>,
-    /// The last epoch in which it granted: its table has every claim won before that epoch.
-    decided_last: Option<GroupEpoch>,
+    /// Last epoch in which this node granted claims. Its table has every claim won before that
+    /// epoch.
+    last_deciding: Option<GroupEpoch>,
     joining: Option<Joining>,
-    /// Members of a later epoch that need nothing more from this node.
-    handed_to: BTreeSet<NodeId>,
-    handed_in: GroupEpoch,
+    /// Members of `handover_epoch` that need no more records from this node.
+    handed_over_to: BTreeSet<NodeId>,
+    handover_epoch: GroupEpoch,
     page_records: usize,
     resend_interval: std::time::Duration,
-    /// Claims granted.
     pub(super) grants: u64,
-    /// Epochs in which it began to decide.
+    /// Epochs in which this node started deciding.
     pub(super) groups_joined: u64,
 }
 
@@ -60,10 +60,10 @@
             latest: None,
             table: ClaimTable::new(parameters),
             deciding: None,
-            decided_last: None,
+            last_deciding: None,
             joining: None,
-            handed_to: BTreeSet::new(),
-            handed_in: GroupEpoch(0),
+            handed_over_to: BTreeSet::new(),
+            handover_epoch: GroupEpoch(0),
             page_records: parameters.page_records,
             resend_interval: parameters.resend_interval,
             grants: 0,
@@ -71,46 +71,44 @@
         }
     }
 
-    /// The latest group known.
     pub(super) fn latest(&self) -> Option<&ClaimGroup> {
         self.latest.as_ref()
     }
 
-    /// The epoch in which this node grants.
+    /// Epoch in which this node grants claims.
     pub(super) fn deciding(&self) -> Option<GroupEpoch> {
         self.deciding
     }
 
-    /// Whether this node may stop without loss: it is in no group, or a majority of the group
-    /// that followed its own has got its claims.
+    /// Whether this node may stop without losing claims: it is in no group, or a majority of its
+    /// group's successor has received its claims.
     pub(super) fn has_handed_over(&self, own: NodeId) -> bool {
-        let (Some(latest), Some(last)) = (&self.latest, self.decided_last) else {
+        let (Some(latest), Some(last)) = (&self.latest, self.last_deciding) else {
             return true;
         };
         let is_needed = is_member(&latest.previous, own) && last.0 + 1 == latest.epoch.0;
-        let enough = self.handed_in == latest.epoch
-            && self.handed_to.len() >= majority(latest.members.len());
+        let enough = self.handover_epoch == latest.epoch
+            && self.handed_over_to.len() >= majority(latest.members.len());
         !is_member(&latest.members, own) && (enough || !is_needed)
     }
 
-    /// A member of a later epoch has got everything from this node, or from others.
-    pub(super) fn has_enough(&mut self, member: NodeId, epoch: GroupEpoch) {
-        if epoch > self.handed_in {
-            self.handed_in = epoch;
-            self.handed_to.clear();
+    /// Records that a member of a later epoch needs no more records from this node.
+    pub(super) fn record_handover(&mut self, member: NodeId, epoch: GroupEpoch) {
+        if epoch > self.handover_epoch {
+            self.handover_epoch = epoch;
+            self.handed_over_to.clear();
         }
-        if epoch == self.handed_in {
-            self.handed_to.insert(member);
+        if epoch == self.handover_epoch {
+            self.handed_over_to.insert(member);
         }
     }
 
-    /// Claims kept.
-    pub(super) fn claims_kept(&self) -> usize {
+    pub(super) fn claim_count(&self) -> usize {
         self.table.len()
     }
 
-    /// Takes note of a group. True where it is newer than the latest known.
-    pub(super) fn learn(
+    /// Takes a group; true if it is newer than the latest known one.
+    pub(super) fn update_group(
         &mut self,
         context: &mut Context<'_>,
         outbox: &mut Outbox,
@@ -126,16 +124,16 @@
             self.joining = Some(Joining {
                 previous: group.previous.clone(),
                 handovers: BTreeMap::new(),
-                ask_again: context.now,
+                retry_at: context.now,
             });
         }
         self.latest = Some(group);
-        self.decide_if_complete(context, outbox);
-        self.ask_previous(context, outbox);
+        self.decide_if_handed_over(context, outbox);
+        self.request_handovers(context, outbox);
         true
     }
 
-    /// Decides over a claim.
+    /// Grants or denies a claim.
     pub(super) fn claim(
         &mut self,
         now: Timestamp,
@@ -153,20 +151,20 @@
         verdict
     }
 
-    /// Forgets a claim that never runs.
+    /// Removes a claim that did not run and never will.
     pub(super) fn release(&mut self, key: &Digest, claim: ClaimId) {
         self.table.release(key, claim);
     }
 
-    /// Records how a claim ended.
+    /// Records the end of a claim.
     pub(super) fn ended(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
-        if self.decided_last.is_some() || self.joining.is_some() {
+        if self.last_deciding.is_some() || self.joining.is_some() {
             self.table.ended(now, claim, end);
         }
     }
 
-    /// A member of a later epoch takes over: stops deciding, and hands a page over. `None` where
-    /// this node did not decide in the epoch before, and so cannot tell.
+    /// Stops deciding in epochs before `epoch`, and returns a page of claims for its member. `None`
+    /// if this node did not decide in the previous epoch, since its table may then lack claims.
     pub(super) fn seal(
         &mut self,
         now: Timestamp,
@@ -178,12 +176,12 @@
         if self.deciding.is_some_and(|deciding| deciding < epoch) {
             self.deciding = None;
         }
-        if self.decided_last.is_none_or(|last| last < before) {
+        if self.last_deciding.is_none_or(|last| last < before) {
             return None;
         }
         let page = self.table.page(now, after, self.page_records);
         if page.last {
-            self.has_enough(from, epoch);
+            self.record_handover(from, epoch);
         }
         Some(ActionMessage::Page {
             epoch,
@@ -193,7 +191,7 @@
         })
     }
 
-    /// Takes in a page from a member of the epoch before.
+    /// Merges a page from a member of the previous epoch.
     pub(super) fn page(
         &mut self,
         context: &mut Context<'_>,
@@ -222,18 +220,18 @@
         handover.complete = last;
         let next = handover.after;
         for record in records {
-            self.table.take_over(context.now, record);
+            self.table.merge_record(context.now, record);
         }
         if !last {
             let message = ActionMessage::Seal { epoch, after: next };
             outbox.send(context, from, message);
         }
-        self.decide_if_complete(context, outbox);
+        self.decide_if_handed_over(context, outbox);
     }
 
-    /// Begins to decide once enough was handed over, and says so to those who handed over: one
-    /// that leaves waits for it.
-    fn decide_if_complete(&mut self, context: &mut Context<'_>, outbox: &mut Outbox) {
+    /// Starts deciding once a majority has handed over, and notifies the members that hand over,
+    /// which may be waiting to leave.
+    fn decide_if_handed_over(&mut self, context: &mut Context<'_>, outbox: &mut Outbox) {
         let (Some(joining), Some(latest)) = (&self.joining, &self.latest) else {
             return;
         };
@@ -244,18 +242,18 @@
                 outbox.send(context, *member, ActionMessage::Deciding { epoch });
             }
             self.deciding = Some(epoch);
-            self.decided_last = self.deciding;
+            self.last_deciding = self.deciding;
             self.joining = None;
             self.groups_joined += 1;
         }
     }
 
-    /// Asks the members of the epoch before that have not handed everything over.
-    fn ask_previous(&mut self, context: &mut Context<'_>, outbox: &mut Outbox) {
+    /// Requests the next page from the members of the previous epoch whose handover is incomplete.
+    fn request_handovers(&mut self, context: &mut Context<'_>, outbox: &mut Outbox) {
         let (Some(joining), Some(latest)) = (&mut self.joining, &self.latest) else {
             return;
         };
-        joining.ask_again = context.now + self.resend_interval;
+        joining.retry_at = context.now + self.resend_interval;
         for member in &joining.previous {
             let handover = joining.handovers.get(&member.node);
             let handover = handover.copied().unwrap_or_default();
@@ -270,12 +268,12 @@
     }
 
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        self.joining.as_ref().map(|joining| joining.ask_again)
+        self.joining.as_ref().map(|joining| joining.retry_at)
     }
 
     pub(super) fn timer_due(&mut self, context: &mut Context<'_>, outbox: &mut Outbox) {
         if self.next_timeout().is_some_and(|due| due <= context.now) {
-            self.ask_previous(context, outbox);
+            self.request_handovers(context, outbox);
         }
     }
 }
--- a/crates/thornbridge-core/src/action/leaving.rs
+++ b/crates/thornbridge-core/src/action/leaving.rs
@@ -1,75 +1,76 @@
-//! A planned stop of a member of the claim group: it goes once its claims are safe without it.
+//! Planned stop of a member of the claim group, delayed until its claims are stored elsewhere.
 
 use super::ActionEngine;
 use super::group::majority;
 use crate::time::Timestamp;
 
-/// A planned stop that waits for the group.
+/// A planned stop that is waiting for the group.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Leaving {
-    /// When it is looked whether the rest of the group suffices.
-    notice_ends: Timestamp,
-    /// When waiting ends whatever is reached.
-    patience_ends: Timestamp,
-    noticed: bool,
+    /// From when on the node may leave if the remaining members are a majority.
+    notice_ends_at: Timestamp,
+    /// When the node leaves in any case.
+    times_out_at: Timestamp,
+    notice_elapsed: bool,
 }
 
 impl Leaving {
     pub(super) fn next_timeout(&self) -> Timestamp {
-        match self.noticed {
-            false => self.notice_ends.min(self.patience_ends),
-            true => self.patience_ends,
+        match self.notice_elapsed {
+            false => self.notice_ends_at.min(self.times_out_at),
+            true => self.times_out_at,
         }
     }
 }
 
 impl ActionEngine {
-    /// A planned stop begins. A member of the group waits to be replaced, or to hear that the
-    /// others can hand over without it.
+    /// Begins a planned stop. A member of the group waits until it is replaced or the remaining
+    /// members suffice.
     pub fn leave(&mut self, now: Timestamp) {
-        let alone = self
+        let is_alone = self
             .view
             .as_ref()
             .is_none_or(|view| view.members().len() < 2);
-        if !alone && !self.member.has_handed_over(self.outbox.own().node) {
+        if !is_alone && !self.member.has_handed_over(self.outbox.own().node) {
             self.leaving = Some(Leaving {
-                notice_ends: now + self.parameters.leaving_notice,
-                patience_ends: now + self.parameters.handover_patience,
-                noticed: false,
+                notice_ends_at: now + self.parameters.leaving_notice,
+                times_out_at: now + self.parameters.handover_patience,
+                notice_elapsed: false,
             });
         }
     }
 
-    /// Ends the wait where nothing is left to wait for.
-    pub(super) fn leave_if_possible(&mut self, now: Timestamp) {
+    /// Ends the wait if it has timed out or the claims are safe without this node.
+    pub(super) fn finish_leaving_if_ready(&mut self, now: Timestamp) {
         let Some(leaving) = &mut self.leaving else {
             return;
         };
-        if leaving.notice_ends <= now {
-            leaving.noticed = true;
+        if leaving.notice_ends_at <= now {
+            leaving.notice_elapsed = true;
         }
-        let noticed = leaving.noticed;
-        let impatient = leaving.patience_ends <= now;
+        let notice_elapsed = leaving.notice_elapsed;
+        let timed_out = leaving.times_out_at <= now;
         let handed_over = self.member.has_handed_over(self.outbox.own().node);
-        if handed_over || impatient || (noticed && self.rest_of_group_suffices()) {
+        if handed_over || timed_out || (notice_elapsed && self.remaining_members_suffice()) {
             self.leaving = None;
         }
     }
 
-    /// Whether the members that stay are a majority: each claim that won is known to one of them.
-    fn rest_of_group_suffices(&self) -> bool {
+    /// Whether the remaining members are a majority, so that one of them stores each claim that
+    /// won.
+    fn remaining_members_suffice(&self) -> bool {
         let (Some(group), Some(view)) = (self.member.latest(), &self.view) else {
             return true;
         };
         let own = self.outbox.own().node;
-        let stays = |node| {
+        let remains = |node| {
             node != own
                 && view
                     .accepting_work()
                     .any(|known| known.endpoint.node == node)
         };
-        let staying = group.members.iter().filter(|it| stays(it.node)).count();
-        let decided = self.member.deciding() == Some(group.epoch);
-        decided && staying >= majority(group.members.len())
+        let remaining = group.members.iter().filter(|it| remains(it.node)).count();
+        let is_deciding = self.member.deciding() == Some(group.epoch);
+        is_deciding && remaining >= majority(group.members.len())
     }
 }
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -1,25 +1,26 @@
-//! Requests that may not be repeated: each key runs at most once.
+//! At-most-once actions: each idempotency key runs at most once.
 //!
-//! The node that takes an action claims its key at the claim group (`member`, `group`,
-//! `decider`). With a majority of grants it owns the key, and sends attempts one after the other,
-//! another one only after one that certainly did not run (`running`). Without, it asks the owner
-//! (`claiming`). Who repeats a key gets the recorded end (`answering`).
+//! The node that receives an action claims its key at the claim group (`group_member`, `group`,
+//! `decider`). With a majority of grants the node owns the key and sends attempts one at a time,
+//! each only after the previous one certainly did not run (`running`). Without a majority, the node
+//! queries the owner of the key (`claiming`). A repeated request receives the recorded end
+//! (`answering`).
 //!
-//! Nothing here depends on time or on the member list for safety: only on majorities within an
-//! epoch, and on each epoch's group being decided once in the platform's store. Source: L. Lamport,
-//! D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication", PODC 2009.
+//! Safety depends neither on time nor on the member list, only on majorities within an epoch and on
+//! each epoch's group being decided once in the platform's store. Source: L. Lamport, D. Malkhi, L.
+//! Zhou, "Vertical Paxos and Primary-Backup Replication", PODC 2009.
 
 mod answering;
 mod claim_table;
 mod claiming;
 mod decider;
 mod group;
+mod group_member;
 mod leaving;
-mod member;
 mod outbox;
-mod owned;
+mod owned_action;
 mod parameters;
-mod peers;
+mod peer_messages;
 mod planner;
 mod running;
 #[cfg(test)]
@@ -36,10 +37,10 @@
 use crate::resources::Resources;
 use crate::time::Timestamp;
 use decider::GroupDecider;
+use group_member::GroupMember;
 use leaving::Leaving;
-use member::GroupMember;
 use outbox::Outbox;
-use owned::{OwnedAction, Phase, Waiter};
+use owned_action::{OwnedAction, Phase, Waiter};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,10 +50,10 @@
 use thornbridge_proto::platform::{PlatformFailure, PlatformRequest, PlatformResponse};
 use thornbridge_proto::{Digest, RequestId, ServiceName};
 
-/// Told to a caller whose action could not be claimed: a group is usually decided within this.
+/// Retry delay in refusals; a group is usually decided within this time.
 const RETRY_AFTER_NO_GROUP: Duration = Duration::from_secs(1);
 
-/// All actions of one node, and its part in the claim group.
+/// A node's actions, and its state as a member of the claim group.
 #[derive(Debug)]
 pub struct ActionEngine {
     parameters: ActionParameters,
@@ -62,20 +63,21 @@
     member: GroupMember,
     decider: GroupDecider,
     owned: BTreeMap<Digest, OwnedAction>,
-    /// Keys by the request that holds a place in the limits or waits for one.
-    requests: BTreeMap<RequestId, Digest>,
-    callers: BTreeMap<CallerId, Digest>,
+    /// Keys by the request that was admitted or is queued by admission control.
+    keys_by_request: BTreeMap<RequestId, Digest>,
+    keys_by_caller: BTreeMap<CallerId, Digest>,
     timers: BTreeSet<(Timestamp, Digest)>,
-    open: usize,
-    last_claim: u64,
-    /// Ended claims up to this one may be forgotten.
-    forgotten_claims: u64,
+    open_actions: usize,
+    last_claim_sequence: u64,
+    /// Highest sequence number of a claim whose end was removed. Ends of older claims may be
+    /// missing too.
+    highest_removed_claim: u64,
     leaving: Option<Leaving>,
     counters: ActionCounters,
 }
 
 impl ActionEngine {
-    /// An engine without a configuration and without a group.
+    /// Creates an engine without a configuration or a group.
     pub fn new(parameters: ActionParameters, own: PeerEndpoint) -> Self {
         Self {
             in_force: None,
@@ -84,12 +86,12 @@
             member: GroupMember::new(&parameters),
             decider: GroupDecider::new(),
             owned: BTreeMap::new(),
-            requests: BTreeMap::new(),
-            callers: BTreeMap::new(),
+            keys_by_request: BTreeMap::new(),
+            keys_by_caller: BTreeMap::new(),
             timers: BTreeSet::new(),
-            open: 0,
-            last_claim: 0,
-            forgotten_claims: 0,
+            open_actions: 0,
+            last_claim_sequence: 0,
+            highest_removed_claim: 0,
             leaving: None,
             counters: ActionCounters::default(),
             parameters,
@@ -100,33 +102,33 @@
     pub fn counters(&self) -> ActionCounters {
         let mut counters = self.counters.clone();
         counters.grants = self.member.grants;
-        counters.claims_kept = self.member.claims_kept() as u64;
+        counters.claims_kept = self.member.claim_count() as u64;
         counters.groups_joined = self.member.groups_joined;
         counters.groups_decided = self.decider.groups_decided;
         counters
     }
 
-    /// What this node must see to its end before it stops: actions, and handing its claims over.
+    /// Open actions, plus one while the handover of claims delays a planned stop.
     pub fn in_flight(&self) -> usize {
-        self.open + usize::from(self.leaving.is_some())
+        self.open_actions + usize::from(self.leaving.is_some())
     }
 
-    /// Takes a new configuration; actions in flight keep theirs.
+    /// Applies a new configuration; actions in flight keep theirs.
     pub fn install(&mut self, in_force: &Arc<InForce>) {
         self.in_force = Some(Arc::clone(in_force));
     }
 
-    /// Takes a new member list.
+    /// Applies a new member list.
     pub fn members_changed(&mut self, view: &Arc<MemberView>) {
         self.view = Some(Arc::clone(view));
     }
 
-    /// Whether this node reads the platform now: then it also sees to the claim group.
+    /// Sets whether this node reads the platform, and so maintains the claim group.
     pub fn set_reading(&mut self, now: Timestamp, reading: bool) {
         self.decider.set_reading(now, reading);
     }
 
-    /// Takes a caller's action.
+    /// Starts an action requested by a caller.
     pub fn start(
         &mut self,
         context: &mut Context<'_>,
@@ -146,28 +148,28 @@
         let plan = match planned {
             Ok(plan) => plan,
             Err(refusal) => {
-                return self.refuse_at_once(context, &request.service, waiter, refusal);
+                return self.refuse_unadmitted(context, &request.service, waiter, refusal);
             }
         };
-        waiter.deadline = context.now + plan.time_allowed(&request);
-        self.callers.insert(caller, plan.key);
+        waiter.deadline = context.now + plan.timeout(&request);
+        self.keys_by_caller.insert(caller, plan.key);
         if self.owned.contains_key(&plan.key) {
-            self.repeat(context, plan.key, plan.payload, waiter);
+            self.handle_repeat(context, plan.key, plan.payload, waiter);
         } else if self.owned.len() >= self.parameters.maximum_claims {
             let refusal = PlanRefusal {
                 reason: RefusalReason::Overloaded,
                 detail: "this node remembers as many keys as it may; the action was not run"
                     .to_owned(),
             };
-            self.refuse_at_once(context, &request.service, waiter, refusal);
+            self.refuse_unadmitted(context, &request.service, waiter, refusal);
         } else {
-            self.own(context, resources, Arc::new(plan), waiter);
+            self.start_new(context, resources, Arc::new(plan), waiter);
         }
         self.handle_own_messages(context, resources);
     }
 
-    /// Begins an action whose key this node does not know.
-    fn own(
+    /// Starts an action whose key has no action at this node.
+    fn start_new(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -175,13 +177,13 @@
         waiter: Waiter,
     ) {
         let key = plan.key;
-        let asked = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             service: &plan.service,
             request: waiter.request,
             deadline: waiter.deadline,
             predicted_run_time: None,
         };
-        let admission = resources.limits.admit(context, asked);
+        let admission = resources.limits.admit(context, admission_request);
         let action = OwnedAction {
             plan,
             request: waiter.request,
@@ -189,47 +191,47 @@
             phase: Phase::Queued,
             waiters: vec![waiter],
             deadline: waiter.deadline,
-            wake: None,
+            next_check: None,
         };
         self.owned.insert(key, action);
-        self.requests.insert(waiter.request, key);
-        self.open += 1;
+        self.keys_by_request.insert(waiter.request, key);
+        self.open_actions += 1;
         match admission {
-            Admission::Run => self.claim(context, key),
+            Admission::Run => self.start_claim(context, key),
             Admission::Queued => {}
             Admission::Refuse(refusal) => self.refuse_waiting(context, waiter.request, refusal),
         }
     }
 
     fn next_claim(&mut self) -> ClaimId {
-        self.last_claim += 1;
+        self.last_claim_sequence += 1;
         ClaimId {
             node: self.outbox.own().node,
-            sequence: self.last_claim,
+            sequence: self.last_claim_sequence,
         }
     }
 
-    /// Runs an action whose turn has come.
+    /// Runs an action that was queued by admission control.
     pub fn run(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         request: RequestId,
     ) {
-        if let Some(key) = self.requests.get(&request).copied() {
-            self.claim(context, key);
+        if let Some(key) = self.keys_by_request.get(&request).copied() {
+            self.start_claim(context, key);
             self.handle_own_messages(context, resources);
         }
     }
 
-    /// Refuses an action that never ran.
+    /// Refuses an action that was queued or rejected by admission control.
     pub fn refuse_waiting(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
         refusal: AdmissionRefusal,
     ) {
-        let Some(key) = self.requests.get(&request).copied() else {
+        let Some(key) = self.keys_by_request.get(&request).copied() else {
             return;
         };
         let refusal = Refusal {
@@ -239,18 +241,18 @@
             retry_after: Some(refusal.retry_after),
             detail: "too much is asked of this service now; the action was not run".to_owned(),
         };
-        self.forget_refused(context, key, &refusal);
+        self.remove_and_refuse(context, key, &refusal);
     }
 
-    /// A caller went away; its action goes on.
+    /// Removes a caller that disconnected; its action continues.
     pub fn caller_gone(&mut self, caller: CallerId) {
-        let key = self.callers.remove(&caller);
+        let key = self.keys_by_caller.remove(&caller);
         if let Some(action) = key.and_then(|key| self.owned.get_mut(&key)) {
             action.waiters.retain(|waiter| waiter.caller != caller);
         }
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time of the next call of [`Self::timer_due`], if any.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [
             self.timers.first().map(|(time, _)| *time),
@@ -261,7 +263,7 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Ends, repeats and asks for what is due.
+    /// Performs what is due: timeouts, resends, group checks.
     pub fn timer_due(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>) {
         while let Some((time, key)) = self.timers.first().copied() {
             if time > context.now {
@@ -269,17 +271,17 @@
             }
             self.timers.pop_first();
             if let Some(action) = self.owned.get_mut(&key) {
-                action.wake = None;
-                self.look(context, resources, key);
+                action.next_check = None;
+                self.check_action(context, resources, key);
             }
         }
         self.member.timer_due(context, &mut self.outbox);
         self.check_group(context);
         self.handle_own_messages(context, resources);
-        self.leave_if_possible(context.now);
+        self.finish_leaving_if_ready(context.now);
     }
 
-    /// The next request to the platform, which gets the identity that `next_operation` gives.
+    /// Next request to the platform, with its identifier from `next_operation`.
     pub fn poll_platform_request(
         &mut self,
         next_operation: impl FnOnce() -> OperationId,
@@ -292,7 +294,7 @@
         Some((operation, request))
     }
 
-    /// Takes the platform's answer, if it is to a question of this engine.
+    /// Handles the platform's reply to a request of this engine; ignores other replies.
     pub fn platform_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -313,12 +315,12 @@
             latest,
         );
         if let Some(group) = decided {
-            self.announce(context, group);
+            self.announce_group(context, group);
         }
         self.handle_own_messages(context, resources);
     }
 
-    fn refuse_at_once(
+    fn refuse_unadmitted(
         &mut self,
         context: &mut Context<'_>,
         service: &ServiceName,
--- a/crates/thornbridge-core/src/action/outbox.rs
+++ b/crates/thornbridge-core/src/action/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages about actions on their way out; those to this node itself come back.
+//! Outgoing messages about actions, including those that a node sends to itself.
 
 use crate::context::Context;
 use crate::driver_action::Action;
@@ -6,7 +6,7 @@
 use thornbridge_proto::peer::action::ActionMessage;
 use thornbridge_proto::peer::{PeerEndpoint, PeerMessage};
 
-/// Sends to peers, and keeps what this node sends to itself until it is handled.
+/// Sends messages to peers, and queues those to this node itself.
 #[derive(Debug)]
 pub(super) struct Outbox {
     own: PeerEndpoint,
@@ -41,7 +41,6 @@
         });
     }
 
-    /// The next message to this node itself.
     pub(super) fn next_to_self(&mut self) -> Option<ActionMessage> {
         self.to_self.pop_front()
     }
--- a/crates/thornbridge-core/src/action/owned.rs
+++ b/crates/thornbridge-core/src/action/owned_action.rs
@@ -1,4 +1,4 @@
-//! One action at the node that took it.
+//! State of an action at the node that received it.
 
 use super::planner::ActionPlan;
 use crate::driver_action::CallerId;
@@ -9,7 +9,7 @@
 use thornbridge_proto::peer::action::{ActionEnd, Claim, ClaimGroup, ClaimId, GroupEpoch};
 use thornbridge_proto::{AttemptId, BackEndId, NodeId, RequestId};
 
-/// A caller that waits for an action's end.
+/// A caller waiting for an action's end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Waiter {
     pub(super) caller: CallerId,
@@ -18,55 +18,55 @@
     pub(super) deadline: Timestamp,
 }
 
-/// What the members said of a claim in one epoch.
+/// The group members' answers to a claim in one epoch.
 #[derive(Debug, Default)]
 pub(super) struct Votes {
     pub(super) epoch: GroupEpoch,
     pub(super) members: Vec<PeerEndpoint>,
-    /// For each member that answered: whether it granted.
+    /// Whether each member that answered granted the claim.
     pub(super) answers: BTreeMap<NodeId, bool>,
-    /// Another claim that some member named.
+    /// Claim that holds the key, as named by a member.
     pub(super) holder: Option<Claim>,
     pub(super) full: bool,
 }
 
-/// Where an action stands.
+/// Phase of an action.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Waits for its turn at the limits.
+    /// Queued by admission control.
     Queued,
-    /// Asks the group for its key.
+    /// Claiming its key at the group.
     Claiming(Votes),
-    /// Lost its claim; asks the owner of the claim that holds the key.
-    Asking { holder: Claim, since: Timestamp },
-    /// Claims again after a moment: the claim that held the key will never run.
+    /// Querying the owner of the claim that holds the key.
+    QueryingOwner { holder: Claim, since: Timestamp },
+    /// Waiting to claim again, since the claim that held the key will never run.
     Backoff { until: Timestamp },
-    /// Owns its key. Attempts run one after the other.
+    /// Owns its key; attempts run one at a time.
     Running {
         attempt: AttemptId,
         tried: Vec<BackEndId>,
         started: Timestamp,
     },
-    /// Ended; kept for those who repeat or ask.
+    /// Ended; retained for repeated requests and owner queries.
     Ended { end: ActionEnd, at: Timestamp },
 }
 
-/// One action at the node that took it.
+/// An action at the node that received it.
 #[derive(Debug)]
 pub(super) struct OwnedAction {
     pub(super) plan: Arc<ActionPlan>,
-    /// The first request with the key here; attempts carry it.
+    /// First request with the key at this node; attempts carry its identifier.
     pub(super) request: RequestId,
     pub(super) claim: ClaimId,
     pub(super) phase: Phase,
     pub(super) waiters: Vec<Waiter>,
-    /// No attempt is sent later than this.
+    /// Latest time at which an attempt is sent.
     pub(super) deadline: Timestamp,
-    pub(super) wake: Option<Timestamp>,
+    pub(super) next_check: Option<Timestamp>,
 }
 
 impl OwnedAction {
-    /// The claim as the group is told it.
+    /// The claim to send to the group.
     pub(super) fn as_claim(&self, owner: PeerEndpoint) -> Claim {
         Claim {
             id: self.claim,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Whether it holds a place in the limits.
+    /// Whether the action counts towards the concurrency limits.
     pub(super) fn is_admitted(&self) -> bool {
         !matches!(self.phase, Phase::Queued | Phase::Ended { .. })
     }
 
-    /// Whether a planned stop waits for it.
+    /// Whether a planned stop waits for the action.
     pub(super) fn is_open(&self) -> bool {
         !matches!(self.phase, Phase::Ended { .. })
     }
@@ -100,7 +100,7 @@
         self.answers.values().filter(|granted| **granted).count()
     }
 
-    /// Whether too few members are left that may still grant.
+    /// Whether the members that may still grant are less than a majority.
     pub(super) fn is_lost(&self) -> bool {
         let denied = self.answers.len() - self.granted();
         self.members.len() - denied < super::group::majority(self.members.len())
--- a/crates/thornbridge-core/src/action/parameters.rs
+++ b/crates/thornbridge-core/src/action/parameters.rs
@@ -1,55 +1,50 @@
-//! Tunable values and counters of actions.
+//! Parameters and counters of actions.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values.
+/// Parameters of actions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ActionParameters {
-    /// Members of a claim group, where there are as many nodes. Default 5: two may be lost at
-    /// once, as when one is replaced while another fails.
+    /// Maximum members of a claim group. Five members tolerate the loss of two.
     pub group_members: usize,
-    /// How long a key is remembered after its claim, where there is room. Default 24 h: people
-    /// and daily jobs repeat within a day. A repeat that comes later runs again.
+    /// How long a member retains a claim, unless its table is full. A request repeated later runs
+    /// again.
     pub retention: Duration,
-    /// How long a key is remembered at least. Default 1 h: a person who waits for an answer gives
-    /// up and asks again well within it. A full member forgets the oldest ended claims beyond
-    /// this, and else grants nothing: running twice is worse than a true refusal.
+    /// Minimum time that a member retains a claim. A full member evicts ended claims older than
+    /// this, and otherwise grants nothing.
     pub least_retention: Duration,
-    /// How long an owner keeps an ended action. Default 60 s: the group has its end by then. An
-    /// owner never says that an action did not run because it forgot it.
+    /// How long an owner retains an ended action, so that the group can record its end.
     pub owner_retention: Duration,
-    /// Most claims that a member keeps. Default 200,000: at the least retention
-    /// 55 new keys a second for the whole cluster, some 60 MB.
+    /// Maximum claims in the table of a member, and maximum actions at a node.
     pub maximum_claims: usize,
-    /// Longest outcome that members keep. Default 1 KiB. A longer one is known to its owner only.
+    /// Maximum outcome size that is replicated to the group; only the owner retains a longer
+    /// outcome.
     pub maximum_outcome_bytes: usize,
-    /// Time after which an unanswered message is sent again. Default 50 ms: several times the
-    /// round trip between regions.
+    /// Interval between resends of an unanswered message.
     pub resend_interval: Duration,
-    /// Time between looks at the group, at a node that reads the platform. Default 1 s.
+    /// Interval between checks of the group at a node that reads the platform.
     pub group_check_interval: Duration,
-    /// The same while a change is under way. Default 100 ms: a few round trips.
+    /// Interval between checks of the group while a change is in progress.
     pub group_change_interval: Duration,
-    /// How long a member must be seen gone before it is replaced. Default 2 s: a suspicion that
-    /// is refuted at once costs no change of the group.
+    /// How long a member must be unavailable before it is replaced, so that a suspicion that is
+    /// soon refuted changes no group.
     pub replacement_delay: Duration,
-    /// How long most of a group must be gone before a new one takes nothing over from it, where an
-    /// operator has deleted the group in the store. Default 10 s.
+    /// How long a majority of a group must be unavailable before a successor is created without its
+    /// claims. Applies only if an operator deleted the group in the store.
     pub lost_group_patience: Duration,
-    /// How long an owner that the member list does not have is asked before its outcome is given
-    /// up as unknown. Default 500 ms: a node that just joined is known everywhere by then.
+    /// How long an owner missing from the member list is queried before the outcome counts as
+    /// unknown. Allows for a node that has just joined.
     pub unknown_owner_patience: Duration,
-    /// How long after its deadline an attempt may still end by itself, before its outcome is
-    /// given up as unknown. Default 1 s.
+    /// How long after its deadline an attempt may still end before its outcome counts as unknown.
     pub attempt_grace: Duration,
-    /// How long a leaving member waits at most for a group without it. Default 5 s.
+    /// Maximum time that a leaving member waits for its replacement.
     pub handover_patience: Duration,
-    /// How long it waits where the rest of its group is a majority and can hand over without it.
-    /// Default 300 ms: by then it has heard whether others leave as well.
+    /// How long a leaving member waits if the remaining members are a majority, to learn whether
+    /// others leave as well.
     pub leaving_notice: Duration,
-    /// Records in a page of a handover. Default 2,000: some 600 KiB, below the largest frame.
+    /// Entries in one page of a handover, which must fit into a frame.
     pub page_records: usize,
 }
 
@@ -76,18 +71,18 @@
     }
 }
 
-/// Counters.
+/// Counters of actions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionCounters {
-    /// Actions taken from callers.
+    /// Actions received from callers.
     pub received: u64,
-    /// Actions answered with an outcome of their own.
+    /// Actions answered with the outcome of their own run.
     pub answered: u64,
     /// Actions answered with the outcome recorded under their key.
     pub replayed: u64,
     /// Actions refused or failed.
     pub refused: u64,
-    /// Of those, with an unknown outcome.
+    /// Actions refused or failed with an unknown outcome.
     pub outcome_unknown: u64,
     /// Attempts sent.
     pub attempts: u64,
@@ -99,9 +94,9 @@
     pub claims_lost: u64,
     /// Claims granted as a member of the group.
     pub grants: u64,
-    /// Claims kept now as a member of the group.
+    /// Claims currently stored as a member of the group.
     pub claims_kept: u64,
-    /// Groups taken part in.
+    /// Groups in which this node started deciding.
     pub groups_joined: u64,
     /// Groups written to the platform by this node.
     pub groups_decided: u64,
--- a/crates/thornbridge-core/src/action/peers.rs
+++ b/crates/thornbridge-core/src/action/peer_messages.rs
@@ -1,8 +1,8 @@
-//! Messages between nodes about claims, owners and groups.
+//! Handling of peer messages about claims, owners and groups.
 
 use super::ActionEngine;
 use super::group::is_member;
-use super::owned::Phase;
+use super::owned_action::Phase;
 use crate::context::Context;
 use crate::resources::Resources;
 use rand::Rng;
@@ -11,7 +11,7 @@
 use thornbridge_proto::peer::action::{ActionMessage, ClaimGroup, ClaimId, OwnerAnswer};
 
 impl ActionEngine {
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     pub fn peer_message(
         &mut self,
         context: &mut Context<'_>,
@@ -19,11 +19,11 @@
         from: PeerEndpoint,
         message: ActionMessage,
     ) {
-        self.take(context, resources, from, message);
+        self.handle_message(context, resources, from, message);
         self.handle_own_messages(context, resources);
     }
 
-    /// Handles what this node sent to itself.
+    /// Handles queued messages from this node to itself.
     pub(super) fn handle_own_messages(
         &mut self,
         context: &mut Context<'_>,
@@ -31,11 +31,11 @@
     ) {
         let own = self.outbox.own();
         while let Some(message) = self.outbox.next_to_self() {
-            self.take(context, resources, own, message);
+            self.handle_message(context, resources, own, message);
         }
     }
 
-    fn take(
+    fn handle_message(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -59,18 +59,18 @@
                 claim,
                 key,
                 verdict,
-            } => self.verdict(context, resources, from, epoch, (key, claim), verdict),
+            } => self.handle_verdict(context, resources, from, epoch, (key, claim), verdict),
             ActionMessage::Release { key, claim } => self.member.release(&key, claim),
             ActionMessage::Ended { claim, end } => self.member.ended(context.now, claim, end),
-            ActionMessage::Ask { claim, key } => self.asked(context, from, claim, key),
+            ActionMessage::Ask { claim, key } => self.answer_owner_query(context, from, claim, key),
             ActionMessage::Told { claim, key, answer } => {
-                self.told(context, resources, key, claim, answer);
+                self.handle_owner_answer(context, resources, key, claim, answer);
             }
             ActionMessage::Seal { epoch, after } => {
                 if let Some(page) = self.member.seal(context.now, from.node, epoch, after) {
                     self.outbox.send(context, from, page);
                 }
-                self.leave_if_possible(context.now);
+                self.finish_leaving_if_ready(context.now);
             }
             ActionMessage::Page {
                 epoch,
@@ -83,24 +83,24 @@
                     .page(context, &mut self.outbox, from, epoch, after, page);
             }
             ActionMessage::AskGroup => self.exchange_groups(context, from, None),
-            ActionMessage::Group { group } => self.group_learnt(context, from, group),
+            ActionMessage::Group { group } => self.handle_group(context, from, group),
             ActionMessage::Deciding { epoch } => {
-                self.decider.member_decides(from.node, epoch);
-                self.member.has_enough(from.node, epoch);
-                self.leave_if_possible(context.now);
+                self.decider.record_deciding(from.node, epoch);
+                self.member.record_handover(from.node, epoch);
+                self.finish_leaving_if_ready(context.now);
             }
         }
     }
 
-    /// A peer asks how a claim of this node ended.
-    fn asked(
+    /// Answers a peer's query on the end of a claim of this node.
+    fn answer_owner_query(
         &mut self,
         context: &mut Context<'_>,
         from: PeerEndpoint,
         claim: ClaimId,
         key: Digest,
     ) {
-        let is_forgotten = claim.sequence <= self.forgotten_claims;
+        let is_forgotten = claim.sequence <= self.highest_removed_claim;
         let answer = if claim.node != self.outbox.own().node {
             OwnerAnswer::Gone
         } else {
@@ -116,22 +116,23 @@
         self.outbox.send(context, from, message);
     }
 
-    fn group_learnt(&mut self, context: &mut Context<'_>, from: PeerEndpoint, group: ClaimGroup) {
-        self.learn_group(context, group);
+    fn handle_group(&mut self, context: &mut Context<'_>, from: PeerEndpoint, group: ClaimGroup) {
+        self.update_group(context, group);
         if let Some(epoch) = self.member.deciding() {
             let message = ActionMessage::Deciding { epoch };
             self.outbox.send(context, from, message);
         }
     }
 
-    /// Takes note of a group. Claims are made anew in a newer one, at their next look.
-    fn learn_group(&mut self, context: &mut Context<'_>, group: ClaimGroup) -> bool {
-        let newer = self.member.learn(context, &mut self.outbox, group);
-        self.leave_if_possible(context.now);
+    /// Takes a group; true if it is newer than the known one. Pending claims are restarted in a
+    /// newer group at their next check.
+    fn update_group(&mut self, context: &mut Context<'_>, group: ClaimGroup) -> bool {
+        let newer = self.member.update_group(context, &mut self.outbox, group);
+        self.finish_leaving_if_ready(context.now);
         newer
     }
 
-    /// The older of two nodes gets the newer group.
+    /// Takes a peer's group, or sends this node's group back if that one is newer.
     pub(super) fn exchange_groups(
         &mut self,
         context: &mut Context<'_>,
@@ -140,7 +141,7 @@
     ) {
         let their_epoch = theirs.as_ref().map(|group| group.epoch);
         if let Some(group) = theirs {
-            self.learn_group(context, group);
+            self.update_group(context, group);
         }
         let newer = self
             .member
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Asks one other node for the latest group.
-    pub(super) fn ask_for_group(&mut self, context: &mut Context<'_>) {
+    /// Requests the latest group from a random peer.
+    pub(super) fn request_group(&mut self, context: &mut Context<'_>) {
         let Some(view) = &self.view else {
             return;
         };
@@ -171,9 +172,9 @@
         self.outbox.send(context, chosen, ActionMessage::AskGroup);
     }
 
-    /// A group was decided: tells every node, if that is news here.
-    pub(super) fn announce(&mut self, context: &mut Context<'_>, group: ClaimGroup) {
-        if !self.learn_group(context, group.clone()) {
+    /// Sends a decided group to all nodes if this node did not know it.
+    pub(super) fn announce_group(&mut self, context: &mut Context<'_>, group: ClaimGroup) {
+        if !self.update_group(context, group.clone()) {
             return;
         }
         let Some(view) = self.view.clone() else {
@@ -181,7 +182,7 @@
         };
         let own = self.outbox.own();
         if self.member.deciding() == Some(group.epoch) {
-            self.decider.member_decides(own.node, group.epoch);
+            self.decider.record_deciding(own.node, group.epoch);
         }
         for member in view.members() {
             if member.endpoint.node != own.node {
@@ -192,20 +193,24 @@
         }
     }
 
-    /// Looks after the group, where this node reads the platform.
+    /// Checks the group if this node reads the platform, and resends it to members that are not
+    /// deciding yet.
     pub(super) fn check_group(&mut self, context: &mut Context<'_>) {
         let Some(view) = self.view.clone() else {
             return;
         };
         let latest = self.member.latest();
-        let untold = self
+        let not_deciding_members = self
             .decider
             .check(context.now, &self.parameters, &view, latest);
         let Some(group) = latest.cloned() else {
             return;
         };
         let known: Vec<PeerEndpoint> = view.members().iter().map(|it| it.endpoint).collect();
-        for member in untold.into_iter().filter(|it| is_member(&known, it.node)) {
+        for member in not_deciding_members
+            .into_iter()
+            .filter(|it| is_member(&known, it.node))
+        {
             let group = group.clone();
             let message = ActionMessage::Group { group };
             self.outbox.send(context, member, message);
--- a/crates/thornbridge-core/src/action/planner.rs
+++ b/crates/thornbridge-core/src/action/planner.rs
@@ -1,4 +1,4 @@
-//! A caller's action is checked against the limits and given its shard.
+//! Planning of an action: validates the request and selects the shard.
 
 use crate::configuration::InForce;
 use crate::planning::{PlanRefusal, check_timeout, find_service, refuse};
@@ -10,7 +10,7 @@
 use thornbridge_proto::limits::{CALLER_BODY_BYTES, IDEMPOTENCY_KEY_BYTES};
 use thornbridge_proto::{BackEndId, Digest, ServiceName, ShardId};
 
-/// What is to be run, and where.
+/// A validated action with its shard and replicas.
 #[derive(Debug)]
 pub(super) struct ActionPlan {
     pub(super) in_force: Arc<InForce>,
@@ -19,14 +19,14 @@
     pub(super) replicas: Vec<BackEndId>,
     pub(super) key_text: Arc<str>,
     pub(super) payload_text: Arc<str>,
-    /// Digest of service and key.
+    /// Digest of service name and idempotency key.
     pub(super) key: Digest,
     /// Digest of the payload.
     pub(super) payload: Digest,
     hard_deadline: Duration,
 }
 
-/// Plans an action under the configuration in force.
+/// Plans an action under the active configuration.
 pub(super) fn plan(
     in_force: Option<&Arc<InForce>>,
     request: &ActionRequest,
@@ -59,10 +59,10 @@
 }
 
 impl ActionPlan {
-    /// Time until the caller gets its answer, whatever comes.
-    pub(super) fn time_allowed(&self, request: &ActionRequest) -> Duration {
-        let asked = request.timeout.unwrap_or(self.hard_deadline);
-        asked.min(self.hard_deadline)
+    /// Timeout of the request: the caller's, limited by the service's hard deadline.
+    pub(super) fn timeout(&self, request: &ActionRequest) -> Duration {
+        let requested = request.timeout.unwrap_or(self.hard_deadline);
+        requested.min(self.hard_deadline)
     }
 }
 
@@ -81,7 +81,7 @@
     check_timeout(request.timeout)
 }
 
-/// The same key of two services is two actions.
+/// Hashes the service name with the key, since keys of different services are independent.
 fn digest_of_key(service: &ServiceName, key: &str) -> Digest {
     let mut hasher = Sha256::new();
     hasher.update((service.as_str().len() as u64).to_be_bytes());
--- a/crates/thornbridge-core/src/action/running.rs
+++ b/crates/thornbridge-core/src/action/running.rs
@@ -1,8 +1,8 @@
-//! Running an action that this node owns: one attempt at a time, another one only after one that
-//! certainly did not run.
+//! Execution of an action that this node owns: one attempt at a time, each only after the previous
+//! one certainly did not run.
 
 use super::ActionEngine;
-use super::owned::Phase;
+use super::owned_action::Phase;
 use crate::context::Context;
 use crate::event::AttemptFailure;
 use crate::limits::{LoadSignal, RequestOutcome};
@@ -14,35 +14,34 @@
 use thornbridge_proto::peer::action::ActionEnd;
 use thornbridge_proto::{BackEndId, Digest};
 
-/// What the end of an attempt says of its action.
-enum AttemptEnd {
-    /// It ran.
+/// Result of an attempt.
+enum AttemptResult {
+    /// The action ran.
     Done(String),
-    /// It certainly did not run.
+    /// The action certainly did not run.
     NotRun { shed: bool },
-    /// It ran and failed.
+    /// The action ran and failed.
     Failed(String),
-    /// It may have run.
+    /// The action may have run.
     Unknown,
 }
 
-fn read(finished: FinishedAttempt) -> AttemptEnd {
+fn classify(finished: FinishedAttempt) -> AttemptResult {
     match finished.result.map(|reply| reply.outcome) {
-        Ok(ReplyOutcome::Done { outcome }) => AttemptEnd::Done(outcome),
-        Ok(ReplyOutcome::Failed { detail }) => AttemptEnd::Failed(detail),
-        Ok(ReplyOutcome::Shed { .. }) => AttemptEnd::NotRun { shed: true },
+        Ok(ReplyOutcome::Done { outcome }) => AttemptResult::Done(outcome),
+        Ok(ReplyOutcome::Failed { detail }) => AttemptResult::Failed(detail),
+        Ok(ReplyOutcome::Shed { .. }) => AttemptResult::NotRun { shed: true },
         Ok(ReplyOutcome::Leaving | ReplyOutcome::NotHeld | ReplyOutcome::Expired)
-        | Err(AttemptFailure::NotSent) => AttemptEnd::NotRun { shed: false },
+        | Err(AttemptFailure::NotSent) => AttemptResult::NotRun { shed: false },
         Ok(ReplyOutcome::Hits { .. } | ReplyOutcome::Cancelled)
         | Err(AttemptFailure::ConnectionBroken | AttemptFailure::MalformedReply) => {
-            AttemptEnd::Unknown
+            AttemptResult::Unknown
         }
     }
 }
 
 impl ActionEngine {
-    /// The key is this node's: sends the first attempt.
-    pub(super) fn run_owned(
+    pub(super) fn send_first_attempt(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -51,7 +50,7 @@
         self.send_attempt(context, resources, key, Vec::new());
     }
 
-    /// Sends an attempt to a replica that was not tried, or gives the action up as not run.
+    /// Sends an attempt to a replica that was not tried yet, or refuses the action as not run.
     fn send_attempt(
         &mut self,
         context: &mut Context<'_>,
@@ -65,13 +64,13 @@
         if action.deadline <= context.now {
             let detail = "no attempt could be sent in time; the action was not run";
             let reason = RefusalReason::DeadlineExceeded;
-            return self.give_up(context, resources, key, reason, detail);
+            return self.refuse_not_run(context, resources, key, reason, detail);
         }
         let plan = Arc::clone(&action.plan);
         let Ok(back_end) = resources.router.choose(context, &plan.replicas, &tried) else {
             let detail = "no back end takes the action now; it was not run";
             let reason = RefusalReason::NoBackEnd;
-            return self.give_up(context, resources, key, reason, detail);
+            return self.refuse_not_run(context, resources, key, reason, detail);
         };
         let attempt = Attempt {
             attempt: resources.router.next_attempt_id(),
@@ -93,20 +92,20 @@
             started: context.now,
         };
         let grace_ends = action.deadline + self.parameters.attempt_grace;
-        self.wake_at(key, grace_ends);
+        self.schedule_check(key, grace_ends);
         resources
             .router
             .dispatch(context, &back_end, AttemptOwner::Action, attempt);
     }
 
-    /// An attempt of an action ended.
+    /// Handles the end of an attempt.
     pub fn attempt_finished(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         finished: FinishedAttempt,
     ) {
-        let Some(key) = self.requests.get(&finished.attempt.request).copied() else {
+        let Some(key) = self.keys_by_request.get(&finished.attempt.request).copied() else {
             return;
         };
         let Some(action) = self.owned.get_mut(&key) else {
@@ -119,28 +118,28 @@
             return;
         }
         let tried = std::mem::take(tried);
-        match read(finished) {
-            AttemptEnd::Done(outcome) => {
+        match classify(finished) {
+            AttemptResult::Done(outcome) => {
                 let configuration = action.plan.in_force.reference.clone();
                 let end = ActionEnd::Done {
                     outcome,
                     configuration,
                 };
-                self.finish_own(context, resources, key, end, LoadSignal::Normal);
+                self.finish_owned(context, resources, key, end, LoadSignal::Normal);
             }
-            AttemptEnd::NotRun { shed } => {
+            AttemptResult::NotRun { shed } => {
                 if shed && !self.may_retry_shed(resources, key) {
                     let detail = "the back end has too much to do; the action was not run";
                     let reason = RefusalReason::Overloaded;
-                    return self.give_up(context, resources, key, reason, detail);
+                    return self.refuse_not_run(context, resources, key, reason, detail);
                 }
                 self.send_attempt(context, resources, key, tried);
             }
-            AttemptEnd::Failed(detail) => {
-                let end = failed(RefusalReason::BackEndFailed, detail);
-                self.finish_own(context, resources, key, end, LoadSignal::Normal);
+            AttemptResult::Failed(detail) => {
+                let end = failed_end(RefusalReason::BackEndFailed, detail);
+                self.finish_owned(context, resources, key, end, LoadSignal::Normal);
             }
-            AttemptEnd::Unknown => {
+            AttemptResult::Unknown => {
                 self.finish_unknown(context, resources, key);
             }
         }
@@ -155,8 +154,8 @@
         budget.is_some_and(|budget| budget.try_take(crate::limits::ExtraAttempt::Retry))
     }
 
-    /// An attempt has run past its deadline.
-    pub(super) fn look_at_attempt(
+    /// Cancels an attempt whose grace period is over; its outcome is unknown.
+    pub(super) fn check_attempt(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -170,7 +169,7 @@
         };
         let grace_ends = action.deadline + self.parameters.attempt_grace;
         if grace_ends > context.now {
-            return self.wake_at(key, grace_ends);
+            return self.schedule_check(key, grace_ends);
         }
         resources.router.cancel(context, *attempt);
         self.finish_unknown(context, resources, key);
@@ -183,12 +182,12 @@
         key: Digest,
     ) {
         let detail = "the back end did not answer; the action may have run and is not sent again";
-        let end = failed(RefusalReason::OutcomeUnknown, detail.to_owned());
-        self.finish_own(context, resources, key, end, LoadSignal::None);
+        let end = failed_end(RefusalReason::OutcomeUnknown, detail.to_owned());
+        self.finish_owned(context, resources, key, end, LoadSignal::None);
     }
 
-    /// Gives back the place in the limits.
-    pub(super) fn leave_limits(
+    /// Reports an admitted action as finished to the concurrency limits.
+    pub(super) fn release_admission(
         &mut self,
         context: &Context<'_>,
         resources: &mut Resources<'_>,
@@ -213,7 +212,7 @@
     }
 }
 
-fn failed(reason: RefusalReason, detail: String) -> ActionEnd {
+fn failed_end(reason: RefusalReason, detail: String) -> ActionEnd {
     let refusal = Refusal {
         request_id: Default::default(),
         reason,
--- a/crates/thornbridge-core/src/action/tests.rs
+++ b/crates/thornbridge-core/src/action/tests.rs
@@ -1,4 +1,5 @@
-//! Several engines with different views over a lossy network, against a count of executions.
+//! Tests of several engines with different member lists over a lossy network; executions are
+//! counted for each key.
 
 mod cluster;
 mod group_choice;
