--- a/crates/thornbridge-core/src/query/answering.rs
+++ b/crates/thornbridge-core/src/query/answering.rs
@@ -1,4 +1,4 @@
-//! The end of a query: its answer, or a refusal that says truly whether it ran.
+//! End of a query: the answer, or a refusal that states whether the query may have run.
 
 use super::QueryEngine;
 use super::gather::Gather;
@@ -12,51 +12,51 @@
 use thornbridge_proto::caller::{Executed, QueryAnswer, Refusal, RefusalReason};
 use thornbridge_proto::{RequestId, ServiceName};
 
-/// Told to a caller whose query reached too few shards: back ends are looked for, ejected and
-/// replaced within about this time.
-const RETRY_AFTER_TOO_FEW_SHARDS: Duration = Duration::from_secs(1);
+/// Retry delay of refusals: about the time in which unavailable back ends are detected and
+/// replaced.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How a query ends.
+/// Reason for the end of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ending {
+pub(super) enum QueryEnd {
     Answer,
     AnswerEarly,
-    GiveUp(RefusalReason),
+    Refuse(RefusalReason),
     CallerGone,
 }
 
 impl QueryEngine {
-    /// Ends a query: cancels what runs, gives its place in the limits back, and answers.
+    /// Ends a query: cancels attempts in flight, releases its concurrency slot, and answers.
     pub(super) fn end(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
         id: RequestId,
-        ending: Ending,
+        end: QueryEnd,
     ) {
-        let Some(query) = self.forget(id) else {
+        let Some(query) = self.remove(id) else {
             return;
         };
         let service = query.plan.service.service.clone();
         let Some(mut gather) = query.gather else {
             resources.limits.cancel_queued(&service, id);
-            self.work.counters.abandoned += 1;
+            self.shared.counters.abandoned += 1;
             return;
         };
         let may_have_run = gather.may_have_run();
-        let mut scatter = self.work.scatter(context, resources, id, &query.plan);
+        let mut scatter = self.shared.scatter(context, resources, id, &query.plan);
         scatter.cancel_all(&mut gather);
-        let outcome = request_outcome(context.now, query.started, &gather, ending);
+        let outcome = request_outcome(context.now, query.run_started_at, &gather, end);
         resources.request_finished(context, &service, outcome);
-        match ending {
-            Ending::Answer => self.answer(context, id, query.caller, &query.plan, gather),
-            Ending::AnswerEarly => {
-                self.work.counters.answered_early += 1;
+        match end {
+            QueryEnd::Answer => self.answer(context, id, query.caller, &query.plan, gather),
+            QueryEnd::AnswerEarly => {
+                self.shared.counters.answered_early += 1;
                 self.answer(context, id, query.caller, &query.plan, gather);
             }
-            Ending::CallerGone => self.work.counters.abandoned += 1,
-            Ending::GiveUp(reason) => {
-                let refusal = too_few_shards(id, reason, may_have_run, &query.plan, &gather);
+            QueryEnd::CallerGone => self.shared.counters.abandoned += 1,
+            QueryEnd::Refuse(reason) => {
+                let refusal = coverage_refusal(id, reason, may_have_run, &query.plan, &gather);
                 let latency = context.now.since(query.plan.arrived);
                 self.refuse(context, query.caller, service, latency, refusal);
             }
@@ -73,13 +73,13 @@
     ) {
         let coverage = gather.coverage();
         let latency = context.now.since(plan.arrived);
-        self.work
+        self.shared
             .latencies_of(plan)
             .allowance
-            .answered(latency, 1.0 - coverage.fraction);
-        self.work.counters.answered += 1;
+            .record_answer(latency, 1.0 - coverage.fraction);
+        self.shared.counters.answered += 1;
         if coverage.shards_answered < coverage.shards_total {
-            self.work.counters.answered_partly += 1;
+            self.shared.counters.answered_partly += 1;
         }
         context.act(Action::Observe(Observation::RequestFinished {
             service: plan.service.service.clone(),
@@ -105,7 +105,7 @@
         latency: Duration,
         refusal: Refusal,
     ) {
-        self.work.counters.refused += 1;
+        self.shared.counters.refused += 1;
         context.act(Action::Observe(Observation::RequestFinished {
             service,
             latency,
@@ -118,24 +118,24 @@
 
 fn request_outcome(
     now: Timestamp,
-    started: Timestamp,
+    run_started_at: Timestamp,
     gather: &Gather,
-    ending: Ending,
+    end: QueryEnd,
 ) -> RequestOutcome {
-    let half_response_latency = gather.half_answered().map(|at| at.since(started));
-    let signal = match ending {
-        Ending::CallerGone => LoadSignal::None,
+    let half_response_latency = gather.half_answered_at().map(|at| at.since(run_started_at));
+    let signal = match end {
+        QueryEnd::CallerGone => LoadSignal::None,
         _ if gather.overloaded() || half_response_latency.is_none() => LoadSignal::Overloaded,
         _ => LoadSignal::Normal,
     };
     RequestOutcome {
-        latency: now.since(started),
+        latency: now.since(run_started_at),
         half_response_latency,
         signal,
     }
 }
 
-fn too_few_shards(
+fn coverage_refusal(
     request_id: RequestId,
     reason: RefusalReason,
     may_have_run: bool,
@@ -152,16 +152,16 @@
         },
         retry_after: retry_after(reason),
         detail: format!(
-            "{} of {} shards answered; the least coverage is {}",
+            "{} of {} shards answered; the minimum coverage is {}",
             progress.answered, progress.total, plan.rules.minimum_coverage
         ),
     }
 }
 
-/// When it makes sense to come back, where the reason alone tells.
+/// Retry delay for a refusal reason; `None` if a retry cannot succeed.
 pub(super) fn retry_after(reason: RefusalReason) -> Option<Duration> {
     match reason {
         RefusalReason::UnknownService | RefusalReason::WrongKind | RefusalReason::Invalid => None,
-        _ => Some(RETRY_AFTER_TOO_FEW_SHARDS),
+        _ => Some(DEFAULT_RETRY_AFTER),
     }
 }
--- a/crates/thornbridge-core/src/query/completeness.rs
+++ b/crates/thornbridge-core/src/query/completeness.rs
@@ -1,64 +1,64 @@
-//! When an answer is complete enough, and when a query is given up.
+//! Conditions under which a query is answered or refused.
 
 use super::parameters::WaitPolicy;
 use crate::time::Timestamp;
 use thornbridge_config::bundle::CompletenessPolicy;
 use thornbridge_proto::caller::RefusalReason;
 
-/// Allowed error of `minimum_coverage × shards`, which is not exact in binary.
+/// Tolerance for the floating-point error of `minimum_coverage × shards`.
 const ROUNDING: f64 = 1e-9;
 
-/// What decides over one query, fixed when it is planned.
+/// Conditions for the end of one query, fixed when it is planned.
 #[derive(Clone, Debug)]
-pub(super) struct Rules {
-    /// What goes first.
+pub(super) struct CompletionRules {
+    /// Completeness policy of the service.
     pub(super) policy: CompletenessPolicy,
-    /// Whether the policy holds, or all is waited for.
+    /// Whether the service's policy applies, or all shards are waited for.
     pub(super) wait: WaitPolicy,
-    /// When a latency-first answer is wanted.
+    /// Soft deadline of a latency-first service.
     pub(super) target: Timestamp,
-    /// When the query ends whatever was reached.
-    pub(super) ends: Timestamp,
-    /// Least coverage worth an answer, 0 to 1.
+    /// Hard deadline of the query.
+    pub(super) deadline: Timestamp,
+    /// Minimum coverage of an answer, 0 to 1.
     pub(super) minimum_coverage: f64,
 }
 
-/// How far one query has come.
+/// Number of shards by state.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Shards of the layout.
+    /// Shards in the layout.
     pub(super) total: u32,
-    /// Shards whose hits are in.
+    /// Shards whose hits have been received.
     pub(super) answered: u32,
     /// Shards that may still answer.
     pub(super) unresolved: u32,
 }
 
-/// What to do with a query now.
+/// Next step of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Wait on.
+    /// Keep waiting.
     Wait,
-    /// Answer with the coverage reached.
+    /// Answer with the current coverage.
     Answer,
-    /// Give up.
-    GiveUp(RefusalReason),
+    /// Refuse the query.
+    Refuse(RefusalReason),
 }
 
-impl Rules {
-    /// Judges by what is in and what may come, without regard to how likely that is.
-    pub(super) fn judge(&self, now: Timestamp, progress: Progress) -> Verdict {
-        let enough = self.is_enough(progress.answered, progress.total);
+impl CompletionRules {
+    /// Decides by the hits received and the shards that may still answer, however unlikely.
+    pub(super) fn evaluate(&self, now: Timestamp, progress: Progress) -> Verdict {
+        let enough = self.meets_minimum_coverage(progress.answered, progress.total);
         if enough && progress.unresolved == 0 {
             return Verdict::Answer;
         }
-        if !self.is_enough(progress.answered + progress.unresolved, progress.total) {
-            return Verdict::GiveUp(RefusalReason::InsufficientCoverage);
+        if !self.meets_minimum_coverage(progress.answered + progress.unresolved, progress.total) {
+            return Verdict::Refuse(RefusalReason::InsufficientCoverage);
         }
-        if now >= self.ends {
+        if now >= self.deadline {
             return match enough {
                 true => Verdict::Answer,
-                false => Verdict::GiveUp(RefusalReason::DeadlineExceeded),
+                false => Verdict::Refuse(RefusalReason::DeadlineExceeded),
             };
         }
         if enough && self.prefers_latency() && now >= self.target {
@@ -67,8 +67,8 @@
         Verdict::Wait
     }
 
-    /// Least number of shards that must be expected until the target for waiting to be worth
-    /// it; `None` where the answer is not returned before its time.
+    /// Minimum expected number of further shards by the target for which waiting goes on; `None`
+    /// if the query may not be answered before the target.
     pub(super) fn least_expected_shards(&self, progress: Progress) -> Option<f64> {
         let WaitPolicy::AsService {
             least_expected_shards,
@@ -77,26 +77,27 @@
         else {
             return None;
         };
-        let early = self.prefers_latency() && self.is_enough(progress.answered, progress.total);
-        early.then_some(least_expected_shards)
+        let may_answer_early = self.prefers_latency()
+            && self.meets_minimum_coverage(progress.answered, progress.total);
+        may_answer_early.then_some(least_expected_shards)
     }
 
-    /// Whether the coverage reached is worth an answer.
-    pub(super) fn has_enough(&self, progress: Progress) -> bool {
-        self.is_enough(progress.answered, progress.total)
+    /// Whether the current coverage suffices for an answer.
+    pub(super) fn has_minimum_coverage(&self, progress: Progress) -> bool {
+        self.meets_minimum_coverage(progress.answered, progress.total)
     }
 
-    /// Whether the service's own policy holds.
-    pub(super) fn follows_service(&self) -> bool {
+    /// Whether the service's policy applies.
+    pub(super) fn uses_service_policy(&self) -> bool {
         self.wait != WaitPolicy::AllUntilHardDeadline
     }
 
-    /// Whether the target ends the waiting.
+    /// Whether the query is answered at the target.
     pub(super) fn prefers_latency(&self) -> bool {
-        self.policy == CompletenessPolicy::LatencyFirst && self.follows_service()
+        self.policy == CompletenessPolicy::LatencyFirst && self.uses_service_policy()
     }
 
-    fn is_enough(&self, answered: u32, total: u32) -> bool {
+    fn meets_minimum_coverage(&self, answered: u32, total: u32) -> bool {
         answered > 0 && f64::from(answered) + ROUNDING >= self.minimum_coverage * f64::from(total)
     }
 }
--- a/crates/thornbridge-core/src/query/counters.rs
+++ b/crates/thornbridge-core/src/query/counters.rs
@@ -1,41 +1,41 @@
-//! Counters of the query path.
+//! Counters of query execution.
 
 use serde::{Deserialize, Serialize};
 
-/// Counters of the query path.
+/// Counts of queries and attempts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryCounters {
-    /// Queries taken.
+    /// Queries received.
     pub received: u64,
     /// Queries answered.
     pub answered: u64,
-    /// Of those, answered with less than all shards.
+    /// Queries answered without all shards.
     pub answered_partly: u64,
-    /// Of those, returned before the target because the rest was not expected by then.
+    /// Queries answered early because the missing shards were not expected in time.
     pub answered_early: u64,
     /// Queries refused or failed.
     pub refused: u64,
-    /// Queries whose caller went away first.
+    /// Queries whose caller disconnected before the answer.
     pub abandoned: u64,
-    /// First attempts of a shard.
+    /// First attempts sent to a shard.
     pub first_attempts: u64,
-    /// Attempts sent while another still ran.
+    /// Attempts sent while another attempt of the shard was in flight.
     pub hedges: u64,
-    /// Hedges that answered first.
+    /// Hedges that answered before the earlier attempt.
     pub hedges_won: u64,
-    /// Attempts sent after one that may have done work, or was shed.
+    /// Attempts sent after an attempt that may have run, expired or was shed.
     pub retries: u64,
-    /// Attempts sent after one that did no work.
+    /// Attempts sent in place of an attempt that did not run.
     pub resends: u64,
-    /// Times that a hedge or retry waited for the budget of extra load.
+    /// Hedges and retries delayed by the extra-load budget.
     pub budget_waits: u64,
-    /// Attempts cancelled: another answered, or the query ended.
+    /// Attempts cancelled because another answered or the query ended.
     pub cancelled: u64,
-    /// Ends of attempts that nobody waited for any more.
+    /// Replies and failures of attempts that were no longer in flight.
     pub late_replies: u64,
-    /// Replies from another snapshot than the query's: discarded.
+    /// Discarded replies with hits of another snapshot.
     pub wrong_snapshot_replies: u64,
-    /// Replies that cannot be read, with a score that is not finite, of another kind than hits,
-    /// or to another attempt: discarded.
+    /// Discarded replies that are malformed, have a non-finite score, have no hits, or belong to
+    /// another attempt.
     pub malformed_replies: u64,
 }
--- a/crates/thornbridge-core/src/query/coverage_allowance.rs
+++ b/crates/thornbridge-core/src/query/coverage_allowance.rs
@@ -1,23 +1,23 @@
-//! How much coverage a latency-first service may still give up for speed.
+//! Budget of coverage that a latency-first service may give up for lower latency.
 //!
-//! Each answer adds the service's allowance to an account, and costs the coverage that it lacks.
-//! An answer that took longer than most may be cut short while the account covers it: so what is
-//! given up is spent on the slowest answers, and its mean stays below the allowance.
+//! Each answer credits the service's allowance to a balance and debits the answer's missing
+//! coverage. A slow query may be answered early while the balance covers its missing shards, so
+//! mean missing coverage due to early answers stays below the allowance.
 
 use super::shard_latency::DecayedHistogram;
 use std::time::Duration;
 
-/// Most that is saved up: a spell of whole answers does not pay for a spell of poor ones.
-const MOST_SAVED: f64 = 0.5;
-/// Answers over which the usual time is learned.
-const WINDOW: u32 = 2_048;
+/// Bound of the balance in both directions, which limits bursts of incomplete answers.
+const MAX_BALANCE: f64 = 0.5;
+/// Number of observations at which the latency counts are halved.
+const LATENCY_WINDOW: u32 = 2_048;
 
-/// The account of one service.
+/// Coverage budget of one service.
 #[derive(Clone, Debug)]
 pub(super) struct CoverageAllowance {
     allowance: f64,
     quantile: f64,
-    account: f64,
+    balance: f64,
     latencies: DecayedHistogram,
 }
 
@@ -26,26 +26,27 @@
         Self {
             allowance,
             quantile,
-            account: 0.0,
-            latencies: DecayedHistogram::new(WINDOW),
+            balance: 0.0,
+            latencies: DecayedHistogram::new(LATENCY_WINDOW),
         }
     }
 
-    /// A query was answered.
-    pub(super) fn answered(&mut self, latency: Duration, missing: f64) {
+    /// Records an answer's latency and missing share of coverage.
+    pub(super) fn record_answer(&mut self, latency: Duration, missing: f64) {
         self.latencies.record(latency, self.quantile);
-        let account = self.account + self.allowance - missing;
-        self.account = account.clamp(-MOST_SAVED, MOST_SAVED);
+        let balance = self.balance + self.allowance - missing;
+        self.balance = balance.clamp(-MAX_BALANCE, MAX_BALANCE);
     }
 
-    /// The time after which an answer may be cut short; `None` before enough is known.
+    /// Time from arrival after which a query may be answered early; `None` if the allowance is zero
+    /// or before enough observations.
     pub(super) fn cut_after(&self) -> Option<Duration> {
-        let wanted = self.allowance > 0.0 && self.latencies.knows_enough();
-        wanted.then_some(self.latencies.cached_quantile())
+        let enabled = self.allowance > 0.0 && self.latencies.has_enough_observations();
+        enabled.then_some(self.latencies.cached_quantile())
     }
 
-    /// Whether an answer may lack this share of coverage now.
+    /// Whether the balance covers this missing share of coverage.
     pub(super) fn covers(&self, missing: f64) -> bool {
-        self.account >= missing
+        self.balance >= missing
     }
 }
--- a/crates/thornbridge-core/src/query/gather.rs
+++ b/crates/thornbridge-core/src/query/gather.rs
@@ -1,5 +1,7 @@
-//! One query's shards: which still run, which answered, which are lost. Coverage is counted here
-//! and nowhere else, by the same call that takes a shard's hits.
+//! State of one query's shards: attempts in flight, scheduled retries, collected hits.
+//!
+//! Coverage is counted only here, in the call that takes a shard's hits, so that the coverage of an
+//! answer always matches its hits.
 
 use super::completeness::Progress;
 use super::merge::BestHits;
@@ -9,98 +11,91 @@
 use thornbridge_proto::caller::{Coverage, Hit, MissingReason, MissingShard};
 use thornbridge_proto::{AttemptId, ShardId};
 
-/// Replicas of a shard that one query tells apart; further ones are not used by it.
-pub(super) const MOST_REPLICAS: usize = u64::BITS as usize;
+/// Maximum number of replicas of a shard that a query uses.
+pub(super) const MAX_REPLICAS: usize = u64::BITS as usize;
 
-/// Why an attempt was sent.
+/// Reason for sending an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptKind {
-    /// The first of its shard.
+    /// First attempt of the shard.
     First,
-    /// While another still runs.
+    /// Sent while another attempt of the shard is in flight.
     Hedge,
-    /// After one that may have done work, or was shed.
+    /// Sent after an attempt that may have run, expired or was shed.
     Retry,
-    /// After one that did no work.
+    /// Sent in place of an attempt that did not run.
     Resend,
 }
 
-/// An attempt that runs.
+/// An attempt whose reply is outstanding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct OpenAttempt {
-    /// Its id.
+pub(super) struct InFlightAttempt {
     pub(super) attempt: AttemptId,
-    /// Microseconds from the query's arrival to its sending.
-    sent_micros: u32,
-    /// Position among the shard's holders.
+    /// Time from the query's arrival to the sending of the attempt, in microseconds.
+    sent_after_us: u32,
+    /// Index into the shard's holders.
     pub(super) replica: u8,
-    /// Why it was sent.
+    /// Reason for sending the attempt.
     pub(super) kind: AttemptKind,
 }
 
-/// A set of positions among a shard's holders.
+/// Set of replicas of a shard, as indices into its holders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ReplicaSet(u64);
 
 impl ReplicaSet {
-    /// Adds a replica.
     pub(super) fn insert(&mut self, replica: u8) {
         self.0 |= 1 << replica;
     }
 
-    /// Whether the replica is in it.
     pub(super) fn contains(self, replica: u8) -> bool {
         self.0 & (1 << replica) != 0
     }
 
-    /// Replicas of either set.
     pub(super) fn union(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
-    /// Whether there is none.
     pub(super) fn is_empty(self) -> bool {
         self.0 == 0
     }
 }
 
-/// Where a shard stands.
+/// State of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShardPhase {
-    /// At least one attempt runs.
+    /// At least one attempt is in flight.
     Running,
-    /// No attempt runs; another is to be sent.
+    /// No attempt is in flight; a retry is scheduled.
     AwaitingRetry,
-    /// Its hits are in.
+    /// The hits have been received.
     Answered,
-    /// Nothing more can come from it.
-    Lost,
+    /// No further attempt will be sent.
+    Failed,
 }
 
-/// One shard of one query.
+/// Progress of one shard of a query.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShardProgress {
-    /// The attempt that runs; of two, the older.
-    open: Option<OpenAttempt>,
-    /// Replicas that failed: not used again by this query.
-    pub(super) spent: ReplicaSet,
-    /// Replicas that shed: used again only after the time they asked for.
-    pub(super) shed: ReplicaSet,
-    /// Where it stands.
+    /// The attempt in flight; with a hedge, the older of the two.
+    in_flight: Option<InFlightAttempt>,
+    /// Failed replicas; not used again by this query.
+    pub(super) failed_replicas: ReplicaSet,
+    /// Replicas that shed an attempt; usable again after their retry delay.
+    pub(super) shed_replicas: ReplicaSet,
     pub(super) phase: ShardPhase,
-    /// Why it is missing, unless it answered.
+    /// Reason reported if the shard does not answer.
     pub(super) reason: MissingReason,
-    /// Attempts sent, but for resends.
+    /// Attempts sent, without resends.
     pub(super) attempts: u8,
-    /// Resends.
     pub(super) resends: u8,
 }
 
 impl ShardProgress {
     const NEW: Self = Self {
-        open: None,
-        spent: ReplicaSet(0),
-        shed: ReplicaSet(0),
+        in_flight: None,
+        failed_replicas: ReplicaSet(0),
+        shed_replicas: ReplicaSet(0),
         phase: ShardPhase::AwaitingRetry,
         reason: MissingReason::TooSlow,
         attempts: 0,
@@ -108,34 +103,33 @@
     };
 }
 
-/// A retry that waits.
+/// A retry to be sent at a later time.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WaitingRetry {
-    /// The shard.
+pub(super) struct ScheduledRetry {
     pub(super) shard: ShardId,
-    /// When it is due.
+    /// Earliest time of sending.
     pub(super) at: Timestamp,
 }
 
-/// The shards and hits of one query that runs.
+/// Shards and hits of a running query.
 #[derive(Debug)]
 pub(super) struct Gather {
     shards: Vec<ShardProgress>,
-    /// Second attempts, in the order they were sent. Few.
-    hedges: Vec<(ShardId, OpenAttempt)>,
-    retries: Vec<WaitingRetry>,
+    /// Hedges in flight, in the order of sending.
+    hedges: Vec<(ShardId, InFlightAttempt)>,
+    retries: Vec<ScheduledRetry>,
     hits: BestHits,
     answered: u32,
     unresolved: u32,
-    half_answered: Option<Timestamp>,
-    /// Whether some attempt ended that may have run.
+    half_answered_at: Option<Timestamp>,
+    /// Whether an attempt that may have run has ended without hits.
     may_have_run: bool,
-    /// Whether some attempt was shed or expired at its back end.
+    /// Whether an attempt was shed or expired at its back end.
     overloaded: bool,
 }
 
 impl Gather {
-    /// Nothing is sent yet.
+    /// Creates the state of a query without attempts.
     pub(super) fn new(plan: &QueryPlan) -> Self {
         let total = plan.shards_total();
         Self {
@@ -145,28 +139,27 @@
             hits: BestHits::new(plan.limit as usize),
             answered: 0,
             unresolved: total as u32,
-            half_answered: None,
+            half_answered_at: None,
             may_have_run: false,
             overloaded: false,
         }
     }
 
-    /// Ids of all shards.
     pub(super) fn shard_ids(&self) -> impl Iterator<Item = ShardId> + use<> {
         (0..self.shards.len() as u32).map(ShardId)
     }
 
-    /// One shard. A number beyond the layout is a fault of the caller of this function.
+    /// Progress of one shard. Panics if the shard is not in the layout.
     pub(super) fn shard(&mut self, shard: ShardId) -> &mut ShardProgress {
         &mut self.shards[shard.0 as usize]
     }
 
-    /// Why a shard is missing as long as it has not answered.
+    /// Reason reported if the shard does not answer.
     pub(super) fn reason(&self, shard: ShardId) -> MissingReason {
         self.shards[shard.0 as usize].reason
     }
 
-    /// How far the query has come.
+    /// Number of shards in total, answered and unresolved.
     pub(super) fn progress(&self) -> Progress {
         Progress {
             total: self.shards.len() as u32,
@@ -175,35 +168,35 @@
         }
     }
 
-    /// When half of the shards had answered.
-    pub(super) fn half_answered(&self) -> Option<Timestamp> {
-        self.half_answered
+    /// Time at which half of the shards had answered.
+    pub(super) fn half_answered_at(&self) -> Option<Timestamp> {
+        self.half_answered_at
     }
 
-    /// Whether back ends had too much to do.
+    /// Whether an attempt was shed or expired at its back end.
     pub(super) fn overloaded(&self) -> bool {
         self.overloaded
     }
 
-    /// An attempt ended as shed or expired at its back end.
-    pub(super) fn note_overload(&mut self) {
+    /// Records that an attempt was shed or expired at its back end.
+    pub(super) fn record_overload(&mut self) {
         self.overloaded = true;
     }
 
-    /// An attempt ended that may have run.
-    pub(super) fn note_work(&mut self) {
+    /// Records that an attempt that may have run ended without hits.
+    pub(super) fn record_possible_run(&mut self) {
         self.may_have_run = true;
     }
 
-    /// Whether any attempt ran or may still run.
+    /// Whether any attempt ran, may have run, or is in flight.
     pub(super) fn may_have_run(&self) -> bool {
         self.may_have_run
             || self.answered > 0
-            || self.shards.iter().any(|shard| shard.open.is_some())
+            || self.shards.iter().any(|shard| shard.in_flight.is_some())
     }
 
-    /// An attempt was sent.
-    pub(super) fn open(
+    /// Records the sending of an attempt.
+    pub(super) fn record_sent(
         &mut self,
         plan: &QueryPlan,
         now: Timestamp,
@@ -213,9 +206,9 @@
         kind: AttemptKind,
     ) {
         let since_arrival = now.since(plan.arrived).as_micros();
-        let open = OpenAttempt {
+        let in_flight = InFlightAttempt {
             attempt,
-            sent_micros: u32::try_from(since_arrival).unwrap_or(u32::MAX),
+            sent_after_us: u32::try_from(since_arrival).unwrap_or(u32::MAX),
             replica,
             kind,
         };
@@ -225,60 +218,67 @@
             AttemptKind::Resend => progress.resends = progress.resends.saturating_add(1),
             _ => progress.attempts = progress.attempts.saturating_add(1),
         }
-        if progress.open.is_none() {
-            progress.open = Some(open);
+        if progress.in_flight.is_none() {
+            progress.in_flight = Some(in_flight);
         } else {
-            self.hedges.push((shard, open));
+            self.hedges.push((shard, in_flight));
         }
     }
 
-    /// An attempt ended. `None` where it is not one that is waited for.
-    pub(super) fn close(&mut self, shard: ShardId, attempt: AttemptId) -> Option<OpenAttempt> {
+    /// Removes an attempt that ended. `None` if the attempt is not in flight.
+    pub(super) fn record_ended(
+        &mut self,
+        shard: ShardId,
+        attempt: AttemptId,
+    ) -> Option<InFlightAttempt> {
         let progress = self.shards.get_mut(shard.0 as usize)?;
-        if let Some(open) = progress.open.filter(|open| open.attempt == attempt) {
-            progress.open = take_hedge(&mut self.hedges, shard);
-            return Some(open);
+        if let Some(in_flight) = progress
+            .in_flight
+            .filter(|in_flight| in_flight.attempt == attempt)
+        {
+            progress.in_flight = take_hedge(&mut self.hedges, shard);
+            return Some(in_flight);
         }
         let position = self
             .hedges
             .iter()
-            .position(|(_, open)| open.attempt == attempt)?;
+            .position(|(_, in_flight)| in_flight.attempt == attempt)?;
         Some(self.hedges.remove(position).1)
     }
 
-    /// The attempt of a shard that has only one, if it has any.
-    pub(super) fn only_attempt(&self, shard: ShardId) -> Option<OpenAttempt> {
-        let open = self.shards[shard.0 as usize].open?;
+    /// The attempt in flight of a shard without a hedge.
+    pub(super) fn only_attempt(&self, shard: ShardId) -> Option<InFlightAttempt> {
+        let in_flight = self.shards[shard.0 as usize].in_flight?;
         let hedged = self.hedges.iter().any(|(hedged, _)| *hedged == shard);
-        (!hedged).then_some(open)
+        (!hedged).then_some(in_flight)
     }
 
-    /// Whether an attempt of the shard runs.
+    /// Whether an attempt of the shard is in flight.
     pub(super) fn is_running(&self, shard: ShardId) -> bool {
-        self.shards[shard.0 as usize].open.is_some()
+        self.shards[shard.0 as usize].in_flight.is_some()
     }
 
-    /// Takes out one attempt that still runs, to be cancelled.
-    pub(super) fn take_open(&mut self, shard: ShardId) -> Option<OpenAttempt> {
-        let open = self.shards[shard.0 as usize].open?;
-        self.shards[shard.0 as usize].open = take_hedge(&mut self.hedges, shard);
-        Some(open)
+    /// Removes one attempt in flight, to be cancelled.
+    pub(super) fn take_in_flight(&mut self, shard: ShardId) -> Option<InFlightAttempt> {
+        let in_flight = self.shards[shard.0 as usize].in_flight?;
+        self.shards[shard.0 as usize].in_flight = take_hedge(&mut self.hedges, shard);
+        Some(in_flight)
     }
 
-    /// A shard's whole reply is in.
-    pub(super) fn answer(&mut self, now: Timestamp, shard: ShardId, hits: Vec<Hit>) {
+    /// Adds the hits of a shard and counts the shard as answered.
+    pub(super) fn record_answer(&mut self, now: Timestamp, shard: ShardId, hits: Vec<Hit>) {
         self.hits.add(hits);
         self.resolve(shard, ShardPhase::Answered);
         self.answered += 1;
-        if self.half_answered.is_none() && 2 * self.answered >= self.shards.len() as u32 {
-            self.half_answered = Some(now);
+        if self.half_answered_at.is_none() && 2 * self.answered >= self.shards.len() as u32 {
+            self.half_answered_at = Some(now);
         }
     }
 
-    /// Nothing more can come from a shard.
-    pub(super) fn lose(&mut self, shard: ShardId, reason: MissingReason) {
+    /// Marks a shard as missing for the rest of the query.
+    pub(super) fn fail_shard(&mut self, shard: ShardId, reason: MissingReason) {
         self.shards[shard.0 as usize].reason = reason;
-        self.resolve(shard, ShardPhase::Lost);
+        self.resolve(shard, ShardPhase::Failed);
     }
 
     fn resolve(&mut self, shard: ShardId, phase: ShardPhase) {
@@ -286,44 +286,44 @@
         self.unresolved -= 1;
     }
 
-    /// Another attempt of a shard is to be sent at this time.
-    pub(super) fn retry_at(&mut self, shard: ShardId, at: Timestamp, reason: MissingReason) {
+    /// Schedules another attempt of a shard.
+    pub(super) fn schedule_retry(&mut self, shard: ShardId, at: Timestamp, reason: MissingReason) {
         let progress = &mut self.shards[shard.0 as usize];
         progress.phase = ShardPhase::AwaitingRetry;
         progress.reason = reason;
-        self.retries.push(WaitingRetry { shard, at });
+        self.retries.push(ScheduledRetry { shard, at });
     }
 
-    /// Takes out one shard whose retry is due.
+    /// Removes a retry that is due and returns its shard.
     pub(super) fn take_due_retry(&mut self, now: Timestamp) -> Option<ShardId> {
         let position = self.retries.iter().position(|retry| retry.at <= now)?;
         Some(self.retries.swap_remove(position).shard)
     }
 
-    /// When the next retry is due.
+    /// Time of the next retry.
     pub(super) fn next_retry(&self) -> Option<Timestamp> {
         self.retries.iter().map(|retry| retry.at).min()
     }
 
-    /// Shards that run, with their oldest attempt.
-    pub(super) fn running(&self) -> impl Iterator<Item = (ShardId, OpenAttempt)> {
+    /// Shards with an attempt in flight, with the oldest one.
+    pub(super) fn running(&self) -> impl Iterator<Item = (ShardId, InFlightAttempt)> {
         self.shards
             .iter()
             .enumerate()
-            .filter_map(|(index, shard)| Some((ShardId(index as u32), shard.open?)))
+            .filter_map(|(index, shard)| Some((ShardId(index as u32), shard.in_flight?)))
     }
 
-    /// Second attempts that run, with their shards.
-    pub(super) fn hedges(&self) -> &[(ShardId, OpenAttempt)] {
+    /// Hedges in flight, with their shards.
+    pub(super) fn hedges(&self) -> &[(ShardId, InFlightAttempt)] {
         &self.hedges
     }
 
-    /// Retries that wait.
-    pub(super) fn retries(&self) -> &[WaitingRetry] {
+    /// Retries that are not sent yet.
+    pub(super) fn retries(&self) -> &[ScheduledRetry] {
         &self.retries
     }
 
-    /// Which shards contributed.
+    /// Coverage of the hits received so far.
     pub(super) fn coverage(&self) -> Coverage {
         let missing = self
             .shards
@@ -344,20 +344,23 @@
         }
     }
 
-    /// The best hits of the shards that answered.
+    /// Best hits of the shards that answered.
     pub(super) fn into_hits(self) -> Vec<Hit> {
         self.hits.finish()
     }
 }
 
-impl OpenAttempt {
-    /// When it was sent.
-    pub(super) fn sent(&self, plan: &QueryPlan) -> Timestamp {
-        plan.arrived + Duration::from_micros(u64::from(self.sent_micros))
+impl InFlightAttempt {
+    /// Time of sending.
+    pub(super) fn sent_at(&self, plan: &QueryPlan) -> Timestamp {
+        plan.arrived + Duration::from_micros(u64::from(self.sent_after_us))
     }
 }
 
-fn take_hedge(hedges: &mut Vec<(ShardId, OpenAttempt)>, shard: ShardId) -> Option<OpenAttempt> {
+fn take_hedge(
+    hedges: &mut Vec<(ShardId, InFlightAttempt)>,
+    shard: ShardId,
+) -> Option<InFlightAttempt> {
     let position = hedges.iter().position(|(hedged, _)| *hedged == shard)?;
     Some(hedges.remove(position).1)
 }
--- a/crates/thornbridge-core/src/query/hedge.rs
+++ b/crates/thornbridge-core/src/query/hedge.rs
@@ -1,6 +1,6 @@
-//! When a shard is slow enough for a second attempt, and whether waiting for it still helps.
+//! Decisions on slow shards: when to hedge, and when to answer without them.
 
-use super::gather::{Gather, OpenAttempt};
+use super::gather::{Gather, InFlightAttempt};
 use super::parameters::{HedgePolicy, QueryParameters};
 use super::planner::QueryPlan;
 use super::shard_latency::ShardLatencies;
@@ -10,8 +10,8 @@
 use thornbridge_proto::ShardId;
 use thornbridge_proto::caller::MissingReason;
 
-/// What is known when one query is looked at.
-pub(super) struct Outlook<'a> {
+/// Forecast of one query's progress from observed latencies.
+pub(super) struct Forecast<'a> {
     pub(super) now: Timestamp,
     pub(super) parameters: &'a QueryParameters,
     pub(super) latencies: &'a ShardLatencies,
@@ -19,9 +19,13 @@
     pub(super) plan: &'a QueryPlan,
 }
 
-impl Outlook<'_> {
-    /// When a second attempt of the shard is due; `None` where there is never one.
-    pub(super) fn hedge_due(&self, shard: ShardId, open: OpenAttempt) -> Option<Timestamp> {
+impl Forecast<'_> {
+    /// Time at which a hedge of the shard is due; `None` if the shard is not hedged.
+    pub(super) fn hedge_due(
+        &self,
+        shard: ShardId,
+        in_flight: InFlightAttempt,
+    ) -> Option<Timestamp> {
         let HedgePolicy::AfterQuantile {
             quantile,
             minimum_delay,
@@ -38,32 +42,32 @@
         let target = self.plan.rules.target.since(self.plan.arrived);
         let learned = match of_best_replica {
             true => self.router.expected_latency(holders, quantile),
-            false => self.latencies.usual(shard),
+            false => self.latencies.learned_quantile(shard),
         };
         let delay = learned.unwrap_or_else(|| target.mul_f64(initial_share_of_target));
-        Some(open.sent(self.plan) + delay.max(minimum_delay))
+        Some(in_flight.sent_at(self.plan) + delay.max(minimum_delay))
     }
 
-    /// Shards whose second attempt is due, the most overdue first.
-    pub(super) fn due_hedges(&self, gather: &Gather) -> Vec<(ShardId, OpenAttempt)> {
-        let mut due: Vec<(Timestamp, ShardId, OpenAttempt)> = Vec::new();
+    /// Shards whose hedge is due, most overdue first.
+    pub(super) fn due_hedges(&self, gather: &Gather) -> Vec<(ShardId, InFlightAttempt)> {
+        let mut due: Vec<(Timestamp, ShardId, InFlightAttempt)> = Vec::new();
         for (shard, _) in gather.running() {
-            let Some(open) = gather.only_attempt(shard) else {
+            let Some(in_flight) = gather.only_attempt(shard) else {
                 continue;
             };
-            if let Some(time) = self.hedge_due(shard, open)
+            if let Some(time) = self.hedge_due(shard, in_flight)
                 && time <= self.now
             {
-                due.push((time, shard, open));
+                due.push((time, shard, in_flight));
             }
         }
         due.sort_unstable_by_key(|(time, shard, _)| (*time, *shard));
         due.into_iter()
-            .map(|(_, shard, open)| (shard, open))
+            .map(|(_, shard, in_flight)| (shard, in_flight))
             .collect()
     }
 
-    /// When the next second attempt is due, not counting those that wait for the budget.
+    /// Time at which the next hedge is due.
     pub(super) fn next_hedge(&self, gather: &Gather) -> Option<Timestamp> {
         gather
             .running()
@@ -71,12 +75,14 @@
             .min()
     }
 
-    /// Shards that are expected to answer between now and the target.
+    /// Expected number of shards that answer between now and the target.
     pub(super) fn expected_shards(&self, gather: &Gather) -> f64 {
         let target = self.plan.rules.target;
         let running: f64 = gather
             .running()
-            .map(|(shard, open)| self.chance_by(target, gather, shard, open))
+            .map(|(shard, in_flight)| {
+                self.completion_probability_by(target, gather, shard, in_flight)
+            })
             .sum();
         let retried: f64 = gather
             .retries()
@@ -85,29 +91,29 @@
             .map(|retry| {
                 let left = target.since(retry.at);
                 self.latencies
-                    .chance_to_end(retry.shard, Duration::ZERO, left)
+                    .completion_probability(retry.shard, Duration::ZERO, left)
             })
             .sum();
         running + retried
     }
 
-    /// Whether an answer that is due later can as well be returned now.
-    pub(super) fn waiting_is_useless(&self, gather: &Gather) -> bool {
-        if self.waits_for_budget_only(gather) {
+    /// Whether to answer now because further waiting is unlikely to improve coverage.
+    pub(super) fn should_answer_early(&self, gather: &Gather) -> bool {
+        if self.only_budget_waits_remain(gather) {
             return true;
         }
-        if self.may_be_cut(gather) {
+        if self.can_use_allowance(gather) {
             return true;
         }
         let least = self.plan.rules.least_expected_shards(gather.progress());
         least.is_some_and(|least| self.expected_shards(gather) < least)
     }
 
-    /// Whether the answer took longer than most, and the service's allowance covers what lacks.
-    fn may_be_cut(&self, gather: &Gather) -> bool {
+    /// Whether the query is slow and the coverage allowance covers the missing shards.
+    fn can_use_allowance(&self, gather: &Gather) -> bool {
         let rules = &self.plan.rules;
         let progress = gather.progress();
-        if !rules.prefers_latency() || !rules.has_enough(progress) {
+        if !rules.prefers_latency() || !rules.has_minimum_coverage(progress) {
             return false;
         }
         let allowance = &self.latencies.allowance;
@@ -117,9 +123,9 @@
         late && allowance.covers(missing)
     }
 
-    /// Whether enough is there, the target is past, and every shard that is missing waits for the
-    /// budget of extra load: that is no work under way, and may go on until the hard deadline.
-    fn waits_for_budget_only(&self, gather: &Gather) -> bool {
+    /// Whether the target has passed and all unresolved shards wait for the extra-load budget.
+    /// Such retries may stay blocked until the hard deadline.
+    fn only_budget_waits_remain(&self, gather: &Gather) -> bool {
         let rules = &self.plan.rules;
         let progress = gather.progress();
         let waiting = gather
@@ -127,47 +133,47 @@
             .iter()
             .filter(|retry| gather.reason(retry.shard) == MissingReason::BudgetSpent)
             .count();
-        rules.follows_service()
+        rules.uses_service_policy()
             && rules.target <= self.now
-            && rules.has_enough(progress)
+            && rules.has_minimum_coverage(progress)
             && waiting == progress.unresolved as usize
     }
 
-    /// When the query is to be looked at next, if no attempt ends before.
-    pub(super) fn next_look(&self, gather: &Gather) -> Timestamp {
+    /// Time of the next check of the query, if no attempt ends before.
+    pub(super) fn next_check(&self, gather: &Gather) -> Timestamp {
         let rules = &self.plan.rules;
         let soonest = self.now + self.parameters.look_interval;
         let by_target =
             (rules.prefers_latency() && rules.target > self.now).then_some(rules.target);
         let by_hedge = self.next_hedge(gather).map(|time| time.max(soonest));
         let by_retry = gather.next_retry();
-        let by_doubt = rules
+        let by_recheck = rules
             .least_expected_shards(gather.progress())
             .map(|_| soonest);
-        [by_target, by_hedge, by_retry, by_doubt]
+        [by_target, by_hedge, by_retry, by_recheck]
             .into_iter()
             .flatten()
             .min()
-            .map_or(rules.ends, |time| time.min(rules.ends))
+            .map_or(rules.deadline, |time| time.min(rules.deadline))
     }
 
-    /// Chance that one of a shard's attempts ends by a time.
-    fn chance_by(
+    /// Probability that one of a shard's attempts in flight completes by a time.
+    fn completion_probability_by(
         &self,
         time: Timestamp,
         gather: &Gather,
         shard: ShardId,
-        open: OpenAttempt,
+        in_flight: InFlightAttempt,
     ) -> f64 {
-        let second = gather.hedges().iter().find(|(hedged, _)| *hedged == shard);
-        let attempts = [Some(open), second.map(|(_, open)| *open)];
+        let hedge = gather.hedges().iter().find(|(hedged, _)| *hedged == shard);
+        let attempts = [Some(in_flight), hedge.map(|(_, in_flight)| *in_flight)];
         let left = time.since(self.now);
         let none_ends: f64 = attempts
             .into_iter()
             .flatten()
-            .map(|open| {
-                let age = self.now.since(open.sent(self.plan));
-                1.0 - self.latencies.chance_to_end(shard, age, left)
+            .map(|in_flight| {
+                let age = self.now.since(in_flight.sent_at(self.plan));
+                1.0 - self.latencies.completion_probability(shard, age, left)
             })
             .product();
         1.0 - none_ends
--- a/crates/thornbridge-core/src/query/mod.rs
+++ b/crates/thornbridge-core/src/query/mod.rs
@@ -1,7 +1,8 @@
-//! A query's life: planned on one snapshot, admitted, scattered over its shards, gathered, answered.
+//! Execution of queries: planning on one snapshot, admission, scatter to the shards, gather of the
+//! hits, and the answer.
 
 mod answering;
-mod attempt_end;
+mod attempt_result;
 mod completeness;
 mod counters;
 mod coverage_allowance;
@@ -12,10 +13,10 @@
 mod planner;
 mod scatter;
 mod shard_latency;
+mod shared_state;
 #[cfg(test)]
 mod tests;
 mod timers;
-mod work;
 
 pub use counters::QueryCounters;
 pub use parameters::{HedgePolicy, QueryParameters, RetryPolicy, WaitPolicy};
@@ -28,10 +29,11 @@
 use crate::routing::FinishedAttempt;
 use crate::snapshot::SnapshotCatalogue;
 use crate::time::Timestamp;
-use answering::{Ending, retry_after};
+use answering::{QueryEnd, retry_after};
 use completeness::Verdict;
 use gather::Gather;
 use planner::QueryPlan;
+use shared_state::SharedState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,17 +42,17 @@
 use thornbridge_proto::peer::health::HealthRecord;
 use thornbridge_proto::{BackEndId, NodeId, RequestId, ServiceName, SnapshotId};
 use timers::Timers;
-use work::QueryWork;
 
-/// A query from its admission to its answer.
+/// A query that is queued or in flight.
 #[derive(Debug)]
 struct Query {
     caller: CallerId,
     plan: QueryPlan,
-    /// Absent while it waits for its turn.
+    /// Absent while the query is queued.
     gather: Option<Gather>,
-    started: Timestamp,
-    wake: Option<Timestamp>,
+    /// Arrival time while the query is queued.
+    run_started_at: Timestamp,
+    next_check: Option<Timestamp>,
 }
 
 /// All queries of one node.
@@ -63,11 +65,11 @@
     callers: BTreeMap<CallerId, u64>,
     timers: Timers,
     last_sequence: u64,
-    work: QueryWork,
+    shared: SharedState,
 }
 
 impl QueryEngine {
-    /// An engine without a configuration.
+    /// Creates an engine without a configuration; all queries are refused until one is installed.
     pub fn new(parameters: QueryParameters, node: NodeId) -> Self {
         Self {
             node,
@@ -77,38 +79,38 @@
             callers: BTreeMap::new(),
             timers: Timers::default(),
             last_sequence: 0,
-            work: QueryWork::new(parameters),
+            shared: SharedState::new(parameters),
         }
     }
 
-    /// Counters.
+    /// Counts of queries and attempts since the start.
     pub fn counters(&self) -> &QueryCounters {
-        &self.work.counters
+        &self.shared.counters
     }
 
-    /// Queries running or waiting for their turn.
+    /// Number of queries running or queued.
     pub fn in_flight(&self) -> usize {
         self.queries.len()
     }
 
-    /// Takes a new configuration; queries in flight keep theirs.
+    /// Applies a new configuration; queries in flight keep the one they were planned under.
     pub fn install(&mut self, in_force: &Arc<InForce>) {
         self.in_force = Some(Arc::clone(in_force));
         self.catalogue.install(in_force);
-        self.work.install(in_force);
+        self.shared.install(in_force);
     }
 
-    /// Takes a back end's report of itself.
+    /// Applies the snapshot list of a back end's load report.
     pub fn load_reported(&mut self, back_end: &BackEndId, report: &LoadReport) {
         self.catalogue.reported(back_end, report);
     }
 
-    /// Takes news of a back end from health sharing.
+    /// Applies the snapshot list of a back end's health record.
     pub fn health_learnt(&mut self, record: &HealthRecord) {
         self.catalogue.health_learnt(record);
     }
 
-    /// The snapshot that a query of the service would be planned on now.
+    /// Snapshot that a query of the service planned now would use.
     pub fn snapshot_of(&self, now: Timestamp, service: &ServiceName) -> Option<SnapshotId> {
         let service = self.in_force.as_ref()?.service(service)?;
         self.catalogue
@@ -116,7 +118,7 @@
             .map(|(snapshot, _)| snapshot.id.clone())
     }
 
-    /// A fresh request id.
+    /// Allocates a request id.
     pub fn next_request_id(&mut self) -> RequestId {
         self.last_sequence += 1;
         self.request_id(self.last_sequence)
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Takes a caller's query.
+    /// Plans a caller's query and runs, queues or refuses it.
     pub fn start(
         &mut self,
         context: &mut Context<'_>,
@@ -137,12 +139,12 @@
         caller: CallerId,
         request: QueryRequest,
     ) {
-        self.work.counters.received += 1;
+        self.shared.counters.received += 1;
         let id = self.next_request_id();
         let service = request.service.clone();
         let planned = planner::plan(
             context.now,
-            &self.work.parameters,
+            &self.shared.parameters,
             self.in_force.as_ref(),
             &mut self.catalogue,
             request,
@@ -161,19 +163,19 @@
                 return self.refuse(context, caller, service, Duration::ZERO, refusal);
             }
         };
-        let asked = AdmissionRequest {
+        let admission_request = AdmissionRequest {
             service: &service,
             request: id,
-            deadline: plan.rules.ends,
+            deadline: plan.rules.deadline,
             predicted_run_time: None,
         };
-        let admission = resources.limits.admit(context, asked);
+        let admission = resources.limits.admit(context, admission_request);
         let query = Query {
             caller,
-            started: context.now,
+            run_started_at: context.now,
             plan,
             gather: None,
-            wake: None,
+            next_check: None,
         };
         self.queries.insert(id.sequence, query);
         self.callers.insert(caller, id.sequence);
@@ -184,32 +186,32 @@
         }
     }
 
-    /// Whether the request is a query of this engine.
+    /// Whether the request is a queued or running query of this node.
     pub fn owns(&self, request: RequestId) -> bool {
         request.node == self.node && self.queries.contains_key(&request.sequence)
     }
 
-    /// Runs a query whose turn has come.
+    /// Runs an admitted query.
     pub fn run(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>, id: RequestId) {
         let Some(query) = self.queries.get_mut(&id.sequence) else {
             return;
         };
-        query.started = context.now;
+        query.run_started_at = context.now;
         let mut gather = Gather::new(&query.plan);
-        let mut scatter = self.work.scatter(context, resources, id, &query.plan);
+        let mut scatter = self.shared.scatter(context, resources, id, &query.plan);
         scatter.send_all(&mut gather);
         query.gather = Some(gather);
-        self.settle(context, resources, id);
+        self.end_or_reschedule(context, resources, id);
     }
 
-    /// Refuses a query that never ran.
+    /// Refuses a queued query.
     pub fn refuse_waiting(
         &mut self,
         context: &mut Context<'_>,
         id: RequestId,
         refusal: AdmissionRefusal,
     ) {
-        let Some(query) = self.forget(id) else {
+        let Some(query) = self.remove(id) else {
             return;
         };
         let latency = context.now.since(query.plan.arrived);
@@ -218,13 +220,13 @@
             reason: refusal.reason,
             executed: Executed::No,
             retry_after: Some(refusal.retry_after),
-            detail: "too much is asked of this service now; the query was not run".to_owned(),
+            detail: "service overloaded; the query was not run".to_owned(),
         };
         let service = query.plan.service.service.clone();
         self.refuse(context, query.caller, service, latency, refusal);
     }
 
-    /// An attempt of a query ended.
+    /// Handles the end of an attempt of a query.
     pub fn attempt_finished(
         &mut self,
         context: &mut Context<'_>,
@@ -235,98 +237,104 @@
         let shard = finished.attempt.shard;
         let attempt = finished.attempt.attempt;
         let Some(query) = self.queries.get_mut(&id.sequence) else {
-            self.work.counters.late_replies += 1;
+            self.shared.counters.late_replies += 1;
             return;
         };
         let Some(gather) = query.gather.as_mut() else {
             return;
         };
-        let Some(open) = gather.close(shard, attempt) else {
-            self.work.counters.late_replies += 1;
+        let Some(in_flight) = gather.record_ended(shard, attempt) else {
+            self.shared.counters.late_replies += 1;
             return;
         };
         let snapshot = &query.plan.service.snapshot;
-        let end = attempt_end::read(&mut finished, snapshot);
-        if end.denies_snapshot() {
+        let result = attempt_result::classify(&mut finished, snapshot);
+        if result.is_not_held() {
             self.catalogue
                 .denied(context.now, &finished.back_end, snapshot);
         }
-        let mut scatter = self.work.scatter(context, resources, id, &query.plan);
-        let failed = !matches!(end, attempt_end::AttemptEnd::Hits(_));
-        scatter.attempt_ended(gather, shard, open, end);
-        let verdict = query.plan.rules.judge(context.now, gather.progress());
+        let mut scatter = self.shared.scatter(context, resources, id, &query.plan);
+        let failed = !matches!(result, attempt_result::AttemptResult::Hits(_));
+        scatter.attempt_ended(gather, shard, in_flight, result);
+        let verdict = query.plan.rules.evaluate(context.now, gather.progress());
         if failed || verdict != Verdict::Wait {
-            self.settle(context, resources, id);
+            self.end_or_reschedule(context, resources, id);
         }
     }
 
-    /// Ends a query if it is time, or sets when it is looked at next.
-    fn settle(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>, id: RequestId) {
+    /// Ends a query that is complete or past its deadline; otherwise schedules its next check.
+    fn end_or_reschedule(
+        &mut self,
+        context: &mut Context<'_>,
+        resources: &mut Resources<'_>,
+        id: RequestId,
+    ) {
         let Some(query) = self.queries.get_mut(&id.sequence) else {
             return;
         };
         let Some(gather) = query.gather.as_ref() else {
             return;
         };
-        match query.plan.rules.judge(context.now, gather.progress()) {
-            Verdict::Answer => self.end(context, resources, id, Ending::Answer),
-            Verdict::GiveUp(reason) => self.end(context, resources, id, Ending::GiveUp(reason)),
+        match query.plan.rules.evaluate(context.now, gather.progress()) {
+            Verdict::Answer => self.end(context, resources, id, QueryEnd::Answer),
+            Verdict::Refuse(reason) => self.end(context, resources, id, QueryEnd::Refuse(reason)),
             Verdict::Wait => {
-                let outlook = self
-                    .work
-                    .outlook(context.now, resources.router, &query.plan);
-                let wake = Some(outlook.next_look(gather));
-                self.timers.reset(id.sequence, query.wake, wake);
-                query.wake = wake;
+                let forecast = self
+                    .shared
+                    .forecast(context.now, resources.router, &query.plan);
+                let next_check = Some(forecast.next_check(gather));
+                self.timers.reset(id.sequence, query.next_check, next_check);
+                query.next_check = next_check;
             }
         }
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time by which [`Self::timer_due`] must be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         self.timers.next()
     }
 
-    /// Looks at the queries whose time has come.
+    /// Checks the queries whose timers are due.
     pub fn timer_due(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>) {
         while let Some(sequence) = self.timers.due(context.now) {
-            self.look(context, resources, self.request_id(sequence));
+            self.check(context, resources, self.request_id(sequence));
         }
     }
 
-    /// Sends what is due for one query, and ends it where waiting no longer helps.
-    fn look(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>, id: RequestId) {
+    /// Sends the retries and hedges of one query that are due, then ends it or schedules its next
+    /// check.
+    fn check(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>, id: RequestId) {
         let Some(query) = self.queries.get_mut(&id.sequence) else {
             return;
         };
-        self.timers.reset(id.sequence, query.wake, None);
-        query.wake = None;
+        self.timers.reset(id.sequence, query.next_check, None);
+        query.next_check = None;
         let Some(gather) = query.gather.as_mut() else {
             return;
         };
         let rules = &query.plan.rules;
-        if rules.judge(context.now, gather.progress()) != Verdict::Wait {
-            return self.settle(context, resources, id);
+        if rules.evaluate(context.now, gather.progress()) != Verdict::Wait {
+            return self.end_or_reschedule(context, resources, id);
         }
-        let outlook = self
-            .work
-            .outlook(context.now, resources.router, &query.plan);
-        let due = outlook.due_hedges(gather);
-        let mut scatter = self.work.scatter(context, resources, id, &query.plan);
+        let forecast = self
+            .shared
+            .forecast(context.now, resources.router, &query.plan);
+        let due = forecast.due_hedges(gather);
+        let mut scatter = self.shared.scatter(context, resources, id, &query.plan);
         scatter.send_due_retries(gather);
-        for (shard, open) in due {
-            scatter.hedge(gather, shard, open);
+        for (shard, in_flight) in due {
+            scatter.hedge(gather, shard, in_flight);
         }
-        let outlook = self
-            .work
-            .outlook(context.now, resources.router, &query.plan);
-        if outlook.waiting_is_useless(gather) {
-            return self.end(context, resources, id, Ending::AnswerEarly);
+        let forecast = self
+            .shared
+            .forecast(context.now, resources.router, &query.plan);
+        if forecast.should_answer_early(gather) {
+            return self.end(context, resources, id, QueryEnd::AnswerEarly);
         }
-        self.settle(context, resources, id);
+        self.end_or_reschedule(context, resources, id);
     }
 
-    /// A caller went away. False where it asked no query.
+    /// Cancels the query of a disconnected caller. False if the caller has no query.
     pub fn caller_gone(
         &mut self,
         context: &mut Context<'_>,
@@ -337,14 +345,14 @@
             return false;
         };
         let id = self.request_id(sequence);
-        self.end(context, resources, id, Ending::CallerGone);
+        self.end(context, resources, id, QueryEnd::CallerGone);
         true
     }
 
-    fn forget(&mut self, id: RequestId) -> Option<Query> {
+    fn remove(&mut self, id: RequestId) -> Option<Query> {
         let query = self.queries.remove(&id.sequence)?;
         self.callers.remove(&query.caller);
-        self.timers.reset(id.sequence, query.wake, None);
+        self.timers.reset(id.sequence, query.next_check, None);
         Some(query)
     }
 }
--- a/crates/thornbridge-core/src/query/parameters.rs
+++ b/crates/thornbridge-core/src/query/parameters.rs
@@ -1,83 +1,81 @@
-//! Tunable values of gathering: the policies as data, so that an experiment can compare many.
+//! Parameters of query execution: hedge, retry and wait policies.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values of gathering.
+/// Parameters of query execution.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct QueryParameters {
-    /// When a second attempt is sent while the first still runs.
+    /// When a hedge is sent.
     pub hedge: HedgePolicy,
-    /// When another attempt is sent after one failed.
+    /// When an attempt is sent after a failed one.
     pub retry: RetryPolicy,
-    /// When waiting ends.
+    /// When a query is answered without all shards.
     pub wait: WaitPolicy,
-    /// Expected time of a reply from a back end to this node. Attempts are given the time left
-    /// less this. Default 1 ms: one way between the zones of a region.
+    /// Expected one-way network latency from a back end; subtracted from the timeout of attempts.
+    /// Default 1 ms.
     pub network_time: Duration,
-    /// Least time between two looks at one query's waiting shards. Default 1 ms: an order below
-    /// the shortest target, and coarse enough that a look costs less than the replies do.
+    /// Minimum interval between two checks of a query's unresolved shards. Default 1 ms.
     pub look_interval: Duration,
-    /// Resends of one shard after replies that did no work. Default 3: they cost a back end
-    /// next to nothing, so they are outside the extra-load budget, but bounded.
+    /// Maximum resends of one shard outside the extra-load budget, after attempts that did not run.
+    /// Default 3.
     pub free_resends_per_shard: u8,
-    /// For how long a "not held" reply is believed over a load report. Default 1 s: longer than
-    /// reports usually lag, short enough that a snapshot that arrives is used soon.
+    /// Time for which a "not held" reply overrides load reports. Default 1 s: longer than the usual
+    /// lag of reports.
     pub not_held_memory: Duration,
 }
 
-/// When a second attempt is sent while the first still runs.
+/// When a hedge is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "policy")]
 pub enum HedgePolicy {
-    /// Never.
+    /// No hedges.
     Never,
-    /// After a learned quantile of the shard's latency, within the budget of extra load.
-    /// Source: J. Dean, L. A. Barroso, "The Tail at Scale", CACM 56(2), 2013.
+    /// After an observed latency quantile, within the extra-load budget.
+    /// See J. Dean, L. A. Barroso, "The Tail at Scale", CACM 56(2), 2013.
     AfterQuantile {
-        /// The quantile, 0 to 1.
+        /// Quantile, 0 to 1.
         quantile: f64,
-        /// Never earlier than this.
+        /// Minimum time from an attempt to its hedge.
         minimum_delay: Duration,
-        /// Used before enough is learned, as a share of the service's target, 0 to 1.
+        /// Delay before enough observations, as a share of the service's target, 0 to 1.
         initial_share_of_target: f64,
-        /// Whether the quantile is that of the shard's best replica, which a second attempt would
-        /// go to, and not that of the shard's replies.
+        /// Whether to use the latency of the shard's best replica instead of the shard's replies.
         of_best_replica: bool,
     },
 }
 
-/// When another attempt is sent after one failed.
+/// When an attempt is sent after a failed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "policy")]
 pub enum RetryPolicy {
-    /// Within the budget of extra load, at another replica.
+    /// At another replica, within the extra-load budget.
     Budgeted {
-        /// Most attempts that may have caused work, for one shard of one query.
+        /// Maximum attempts for one shard of one query, without resends.
         attempts_per_shard: u8,
     },
-    /// A fixed number of retries without a budget.
+    /// Fixed number of retries without a budget.
     Fixed {
-        /// Retries for one shard of one query.
+        /// Maximum retries for one shard of one query.
         retries: u8,
     },
 }
 
-/// When waiting ends.
+/// When a query is answered without all shards.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "policy")]
 pub enum WaitPolicy {
-    /// As the service's completeness policy says.
+    /// Follow the service's completeness policy.
     AsService {
-        /// A latency-first answer is returned before its target once fewer shards than this
-        /// are expected to still answer by then. Counted in shards; 0 waits for the target.
+        /// A latency-first query is answered before its target once fewer shards than this are
+        /// expected to answer by then; 0 waits for the target.
         least_expected_shards: f64,
-        /// Share of coverage, over many answers, that a latency-first service may give up to
-        /// return its slowest answers earlier, 0 to 1. Never below the floor of an answer.
+        /// Mean share of coverage that a latency-first service may give up to answer its slowest
+        /// queries earlier, 0 to 1. Each answer still has the minimum coverage.
         coverage_allowance: f64,
-        /// An answer may be cut short once it took longer than this share of the service's
-        /// answers, 0 to 1.
+        /// Latency quantile of the service's answers from which a query may be answered early under
+        /// the coverage allowance, 0 to 1.
         cut_quantile: f64,
     },
     /// Wait for every shard until the hard deadline.
@@ -110,8 +108,8 @@
 }
 
 impl QueryParameters {
-    /// The policy that experiments compare with: no hedge, wait for all shards until the hard
-    /// deadline, two retries without a budget.
+    /// Baseline for comparisons: no hedges, wait for all shards until the hard deadline, two retries
+    /// without a budget.
     pub fn baseline() -> Self {
         Self {
             hedge: HedgePolicy::Never,
--- a/crates/thornbridge-core/src/query/planner.rs
+++ b/crates/thornbridge-core/src/query/planner.rs
@@ -1,6 +1,6 @@
-//! A caller's query is checked against the limits and given its snapshot, layout and times.
+//! Planning of queries: validation, choice of the snapshot and layout, and deadlines.
 
-use super::completeness::Rules;
+use super::completeness::CompletionRules;
 use super::parameters::QueryParameters;
 use crate::configuration::InForce;
 use crate::planning::{PlanRefusal, check_timeout, find_service, refuse};
@@ -12,22 +12,22 @@
 use thornbridge_proto::caller::{QueryRequest, RefusalReason};
 use thornbridge_proto::limits::{HITS_PER_ANSWER, QUERY_TEXT_BYTES};
 
-/// Everything that stays fixed for one query from its arrival to its answer.
+/// Properties of a query that do not change while it runs.
 #[derive(Clone, Debug)]
 pub(super) struct QueryPlan {
-    /// Configuration, snapshot, layout, and who holds each shard.
+    /// Configuration, snapshot, layout, and the holders of each shard.
     pub(super) service: Arc<ServicePlan>,
-    /// When it is complete enough.
-    pub(super) rules: Rules,
-    /// When it arrived.
+    /// Conditions under which the query is answered or refused.
+    pub(super) rules: CompletionRules,
+    /// Arrival time.
     pub(super) arrived: Timestamp,
-    /// Most hits wanted.
+    /// Maximum number of hits.
     pub(super) limit: u32,
-    /// Text to search for.
+    /// Query text.
     pub(super) query: Arc<str>,
 }
 
-/// Plans a query under the configuration in force.
+/// Validates and plans a query under the active configuration.
 pub(super) fn plan(
     now: Timestamp,
     parameters: &QueryParameters,
@@ -38,19 +38,22 @@
     let (in_force, service) = find_service(in_force, &request.service, ServiceKind::Query)?;
     check_limits(&request)?;
     let Some(service_plan) = catalogue.plan(now, in_force, service) else {
-        let detail = format!("service {:?} has no snapshot with a layout", service.name);
+        let detail = format!(
+            "service {:?} has no snapshot with a matching layout",
+            service.name
+        );
         return refuse(RefusalReason::NoSnapshot, detail);
     };
     let completeness = &service.completeness;
     let hard_deadline = completeness.hard_deadline;
     let time_left = request.timeout.unwrap_or(hard_deadline).min(hard_deadline);
-    let asked_coverage = request.minimum_coverage.unwrap_or_default();
-    let rules = Rules {
+    let requested_coverage = request.minimum_coverage.unwrap_or_default();
+    let rules = CompletionRules {
         policy: completeness.policy,
         wait: parameters.wait,
         target: now + completeness.target.min(time_left),
-        ends: now + time_left,
-        minimum_coverage: completeness.minimum_coverage.max(asked_coverage),
+        deadline: now + time_left,
+        minimum_coverage: completeness.minimum_coverage.max(requested_coverage),
     };
     Ok(QueryPlan {
         service: service_plan,
@@ -64,12 +67,12 @@
 fn check_limits(request: &QueryRequest) -> Result<(), PlanRefusal> {
     let length = request.query.len();
     if length > QUERY_TEXT_BYTES {
-        let detail = format!("the query has {length} bytes; the limit is {QUERY_TEXT_BYTES}");
+        let detail = format!("query has {length} bytes; the limit is {QUERY_TEXT_BYTES}");
         return refuse(RefusalReason::Invalid, detail);
     }
     if !(1..=HITS_PER_ANSWER).contains(&request.limit) {
         let detail = format!(
-            "limit is {}; 1 to {HITS_PER_ANSWER} is allowed",
+            "limit is {}; expected 1 to {HITS_PER_ANSWER}",
             request.limit
         );
         return refuse(RefusalReason::Invalid, detail);
@@ -77,21 +80,21 @@
     check_timeout(request.timeout)?;
     let coverage = request.minimum_coverage.unwrap_or_default();
     if !(0.0..=1.0).contains(&coverage) {
-        let detail = format!("minimum_coverage is {coverage}; 0 to 1 is allowed");
+        let detail = format!("minimum_coverage is {coverage}; expected 0 to 1");
         return refuse(RefusalReason::Invalid, detail);
     }
     Ok(())
 }
 
 impl QueryPlan {
-    /// Shards of the layout.
+    /// Number of shards in the layout.
     pub(super) fn shards_total(&self) -> usize {
         self.service.holders.len()
     }
 
-    /// Time that a back end has for an attempt sent now: the reply must be back in time.
-    pub(super) fn time_for_attempt(&self, now: Timestamp, network_time: Duration) -> Duration {
-        let left = self.rules.ends.since(now);
+    /// Timeout of an attempt sent now: the time left, less the network time of the reply.
+    pub(super) fn attempt_timeout(&self, now: Timestamp, network_time: Duration) -> Duration {
+        let left = self.rules.deadline.since(now);
         left.saturating_sub(network_time).max(left / 2)
     }
 }
--- a/crates/thornbridge-core/src/query/scatter.rs
+++ b/crates/thornbridge-core/src/query/scatter.rs
@@ -1,8 +1,8 @@
-//! Sending of attempts for one query: first ones, retries, resends and hedges, and cancellation.
+//! Sending of a query's attempts: first attempts, retries, resends and hedges; and cancellation.
 
-use super::attempt_end::{AttemptEnd, Fault, NotRun};
+use super::attempt_result::{AttemptResult, Fault, NotRun};
 use super::counters::QueryCounters;
-use super::gather::{AttemptKind, Gather, MOST_REPLICAS, OpenAttempt, ReplicaSet, ShardPhase};
+use super::gather::{AttemptKind, Gather, InFlightAttempt, MAX_REPLICAS, ReplicaSet, ShardPhase};
 use super::parameters::{QueryParameters, RetryPolicy};
 use super::planner::QueryPlan;
 use super::shard_latency::ShardLatencies;
@@ -14,7 +14,7 @@
 use thornbridge_proto::caller::MissingReason;
 use thornbridge_proto::{BackEndId, RequestId, ShardId};
 
-/// What sending needs, borrowed for one event.
+/// Sends attempts of one query. Borrows the node's state for one event.
 pub(super) struct Scatter<'a, 'c> {
     pub(super) context: &'a mut Context<'c>,
     pub(super) router: &'a mut Router,
@@ -26,8 +26,8 @@
     pub(super) plan: &'a QueryPlan,
 }
 
-/// A replica that an attempt may be sent to.
-struct Chosen {
+/// A replica selected for an attempt.
+struct ChosenReplica {
     back_end: BackEndId,
     replica: u8,
 }
@@ -37,7 +37,7 @@
     pub(super) fn send_all(&mut self, gather: &mut Gather) {
         for shard in gather.shard_ids() {
             if self.holders(shard).is_empty() {
-                gather.lose(shard, MissingReason::SnapshotNotHeld);
+                gather.fail_shard(shard, MissingReason::SnapshotNotHeld);
                 continue;
             }
             match self.choose(shard, ReplicaSet::default()) {
@@ -49,76 +49,86 @@
                     }
                     self.send(gather, shard, chosen, AttemptKind::First);
                 }
-                None => gather.lose(shard, MissingReason::NoReplica),
+                None => gather.fail_shard(shard, MissingReason::NoReplica),
             }
         }
     }
 
-    /// Takes the end of an attempt of a shard that has not answered.
+    /// Handles the result of an attempt of a shard that has not answered.
     pub(super) fn attempt_ended(
         &mut self,
         gather: &mut Gather,
         shard: ShardId,
-        open: OpenAttempt,
-        end: AttemptEnd,
+        in_flight: InFlightAttempt,
+        result: AttemptResult,
     ) {
-        let shed = matches!(end, AttemptEnd::Shed(_));
+        let shed = matches!(result, AttemptResult::Shed(_));
         if let Some(budget) = self.limits.extra_load_budget(&self.plan.service.service) {
             budget.record_reply(shed);
         }
-        match end {
-            AttemptEnd::Hits(hits) => {
-                let age = self.context.now.since(open.sent(self.plan));
+        match result {
+            AttemptResult::Hits(hits) => {
+                let age = self.context.now.since(in_flight.sent_at(self.plan));
                 self.latencies.record(shard, age);
-                if open.kind == AttemptKind::Hedge {
+                if in_flight.kind == AttemptKind::Hedge {
                     self.counters.hedges_won += 1;
                 }
                 self.cancel_shard(gather, shard);
-                gather.answer(self.context.now, shard, hits);
+                gather.record_answer(self.context.now, shard, hits);
             }
-            AttemptEnd::Shed(retry_after) => {
-                gather.note_overload();
-                gather.shard(shard).shed.insert(open.replica);
-                self.try_again(gather, shard, MissingReason::Shed, retry_after);
+            AttemptResult::Shed(retry_after) => {
+                gather.record_overload();
+                gather.shard(shard).shed_replicas.insert(in_flight.replica);
+                self.retry(gather, shard, MissingReason::Shed, retry_after);
             }
-            AttemptEnd::Expired => {
-                gather.note_overload();
-                gather.shard(shard).spent.insert(open.replica);
-                self.try_again(gather, shard, MissingReason::TooSlow, Duration::ZERO);
+            AttemptResult::Expired => {
+                gather.record_overload();
+                gather
+                    .shard(shard)
+                    .failed_replicas
+                    .insert(in_flight.replica);
+                self.retry(gather, shard, MissingReason::TooSlow, Duration::ZERO);
             }
-            AttemptEnd::NotRun(cause) => {
-                gather.shard(shard).spent.insert(open.replica);
-                self.send_in_place(gather, shard, cause);
+            AttemptResult::NotRun(cause) => {
+                gather
+                    .shard(shard)
+                    .failed_replicas
+                    .insert(in_flight.replica);
+                self.resend(gather, shard, cause);
             }
-            AttemptEnd::Failed(fault) => {
-                gather.note_work();
-                self.count(fault);
-                gather.shard(shard).spent.insert(open.replica);
-                self.try_again(gather, shard, MissingReason::Failed, Duration::ZERO);
+            AttemptResult::Failed(fault) => {
+                gather.record_possible_run();
+                self.count_fault(fault);
+                gather
+                    .shard(shard)
+                    .failed_replicas
+                    .insert(in_flight.replica);
+                self.retry(gather, shard, MissingReason::Failed, Duration::ZERO);
             }
         }
     }
 
-    fn count(&mut self, fault: Fault) {
+    fn count_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Reported | Fault::Broken => {}
+            Fault::Reported | Fault::ConnectionBroken => {}
             Fault::Malformed => self.counters.malformed_replies += 1,
             Fault::WrongSnapshot => self.counters.wrong_snapshot_replies += 1,
         }
     }
 
-    /// Sends an attempt in place of one that did no work: no extra load, so without the budget.
-    fn send_in_place(&mut self, gather: &mut Gather, shard: ShardId, cause: NotRun) {
+    /// Sends a replacement for an attempt that did not run. Takes no token from the extra-load
+    /// budget, as the replaced attempt caused no load.
+    fn resend(&mut self, gather: &mut Gather, shard: ShardId, cause: NotRun) {
         let reason = cause.reason();
         if gather.is_running(shard) {
             return;
         }
         if gather.shard(shard).resends >= self.parameters.free_resends_per_shard {
-            return self.try_again(gather, shard, reason, Duration::ZERO);
+            return self.retry(gather, shard, reason, Duration::ZERO);
         }
         let unusable = self.unusable(gather, shard);
         let Some(chosen) = self.choose(shard, unusable) else {
-            return self.out_of_replicas(gather, shard, reason, Duration::ZERO);
+            return self.retry_shed_or_fail(gather, shard, reason, Duration::ZERO);
         };
         self.counters.resends += 1;
         if cause == NotRun::NotSent
@@ -129,8 +139,9 @@
         self.send(gather, shard, chosen, AttemptKind::Resend);
     }
 
-    /// Sends another attempt where policy, budget and replicas allow it now, or plans for it.
-    fn try_again(
+    /// Sends another attempt if policy, budget and replicas allow it; otherwise schedules it or
+    /// fails the shard.
+    fn retry(
         &mut self,
         gather: &mut Gather,
         shard: ShardId,
@@ -140,23 +151,23 @@
         if gather.is_running(shard) {
             return;
         }
-        if gather.shard(shard).attempts >= self.most_attempts() {
-            return gather.lose(shard, reason);
+        if gather.shard(shard).attempts >= self.max_attempts() {
+            return gather.fail_shard(shard, reason);
         }
         let unusable = self.unusable(gather, shard);
         let Some(chosen) = self.choose(shard, unusable) else {
-            return self.out_of_replicas(gather, shard, reason, retry_after);
+            return self.retry_shed_or_fail(gather, shard, reason, retry_after);
         };
-        if !self.may_send_extra(ExtraAttempt::Retry) {
+        if !self.acquire_extra_attempt(ExtraAttempt::Retry) {
             let at = self.context.now + self.parameters.look_interval;
-            return gather.retry_at(shard, at, MissingReason::BudgetSpent);
+            return gather.schedule_retry(shard, at, MissingReason::BudgetSpent);
         }
         self.counters.retries += 1;
         self.send(gather, shard, chosen, AttemptKind::Retry);
     }
 
-    /// No other replica can be asked now; those that shed can be, after the time they asked for.
-    fn out_of_replicas(
+    /// Schedules a retry at the replicas that shed, or fails the shard if there is none.
+    fn retry_shed_or_fail(
         &mut self,
         gather: &mut Gather,
         shard: ShardId,
@@ -164,30 +175,35 @@
         retry_after: Duration,
     ) {
         let at = self.context.now + retry_after.max(self.parameters.look_interval);
-        let shed = gather.shard(shard).shed;
-        if shed.is_empty() || at >= self.plan.rules.ends {
-            return gather.lose(shard, reason);
+        let shed = gather.shard(shard).shed_replicas;
+        if shed.is_empty() || at >= self.plan.rules.deadline {
+            return gather.fail_shard(shard, reason);
         }
-        gather.shard(shard).shed = ReplicaSet::default();
-        gather.retry_at(shard, at, MissingReason::Shed);
+        gather.shard(shard).shed_replicas = ReplicaSet::default();
+        gather.schedule_retry(shard, at, MissingReason::Shed);
     }
 
-    /// Sends the retries that are due, as far as the budget allows.
+    /// Sends the retries that are due, within the extra-load budget.
     pub(super) fn send_due_retries(&mut self, gather: &mut Gather) {
         while let Some(shard) = gather.take_due_retry(self.context.now) {
             let reason = gather.shard(shard).reason;
-            self.try_again(gather, shard, reason, Duration::ZERO);
+            self.retry(gather, shard, reason, Duration::ZERO);
         }
     }
 
-    /// Sends a second attempt of a shard, within the budget. False where none was sent.
-    pub(super) fn hedge(&mut self, gather: &mut Gather, shard: ShardId, open: OpenAttempt) -> bool {
+    /// Sends a hedge for a shard, within the extra-load budget. Returns whether one was sent.
+    pub(super) fn hedge(
+        &mut self,
+        gather: &mut Gather,
+        shard: ShardId,
+        in_flight: InFlightAttempt,
+    ) -> bool {
         let mut unusable = self.unusable(gather, shard);
-        unusable.insert(open.replica);
-        if !self.has_usable(shard, unusable) {
+        unusable.insert(in_flight.replica);
+        if !self.has_usable_replica(shard, unusable) {
             return false;
         }
-        if !self.may_send_extra(ExtraAttempt::Hedge) {
+        if !self.acquire_extra_attempt(ExtraAttempt::Hedge) {
             return false;
         }
         let Some(chosen) = self.choose(shard, unusable) else {
@@ -198,7 +214,7 @@
         true
     }
 
-    fn may_send_extra(&mut self, extra: ExtraAttempt) -> bool {
+    fn acquire_extra_attempt(&mut self, extra: ExtraAttempt) -> bool {
         if matches!(self.parameters.retry, RetryPolicy::Fixed { .. }) {
             return extra == ExtraAttempt::Retry;
         }
@@ -210,23 +226,23 @@
         allowed
     }
 
-    fn most_attempts(&self) -> u8 {
+    fn max_attempts(&self) -> u8 {
         match self.parameters.retry {
             RetryPolicy::Budgeted { attempts_per_shard } => attempts_per_shard,
             RetryPolicy::Fixed { retries } => retries.saturating_add(1),
         }
     }
 
-    /// Cancels what still runs of a shard.
+    /// Cancels the attempts of a shard that are in flight.
     pub(super) fn cancel_shard(&mut self, gather: &mut Gather, shard: ShardId) {
-        while let Some(open) = gather.take_open(shard) {
-            self.record_given_up(shard, open);
+        while let Some(in_flight) = gather.take_in_flight(shard) {
+            self.record_cancelled_latency(shard, in_flight);
             self.counters.cancelled += 1;
-            self.router.cancel(self.context, open.attempt);
+            self.router.cancel(self.context, in_flight.attempt);
         }
     }
 
-    /// Cancels everything that still runs.
+    /// Cancels all attempts in flight.
     pub(super) fn cancel_all(&mut self, gather: &mut Gather) {
         for shard in gather.shard_ids() {
             if gather.shard(shard).phase == ShardPhase::Running {
@@ -235,9 +251,12 @@
         }
     }
 
-    fn record_given_up(&mut self, shard: ShardId, open: OpenAttempt) {
-        let age = self.context.now.since(open.sent(self.plan));
-        let slow = self.latencies.usual(shard).is_some_and(|usual| age > usual);
+    fn record_cancelled_latency(&mut self, shard: ShardId, in_flight: InFlightAttempt) {
+        let age = self.context.now.since(in_flight.sent_at(self.plan));
+        let slow = self
+            .latencies
+            .learned_quantile(shard)
+            .is_some_and(|usual| age > usual);
         if slow {
             self.latencies.record(shard, age);
         }
@@ -245,22 +264,22 @@
 
     fn holders(&self, shard: ShardId) -> &[BackEndId] {
         let holders = &self.plan.service.holders[shard.0 as usize];
-        &holders[..holders.len().min(MOST_REPLICAS)]
+        &holders[..holders.len().min(MAX_REPLICAS)]
     }
 
-    /// Replicas that may not be asked now.
+    /// Replicas that failed or shed.
     fn unusable(&self, gather: &mut Gather, shard: ShardId) -> ReplicaSet {
         let progress = gather.shard(shard);
-        progress.spent.union(progress.shed)
+        progress.failed_replicas.union(progress.shed_replicas)
     }
 
-    fn has_usable(&self, shard: ShardId, unusable: ReplicaSet) -> bool {
+    fn has_usable_replica(&self, shard: ShardId, unusable: ReplicaSet) -> bool {
         (0..self.holders(shard).len() as u8).any(|replica| !unusable.contains(replica))
     }
 
-    fn choose(&mut self, shard: ShardId, unusable: ReplicaSet) -> Option<Chosen> {
+    fn choose(&mut self, shard: ShardId, unusable: ReplicaSet) -> Option<ChosenReplica> {
         let holders = &self.plan.service.holders[shard.0 as usize];
-        let holders = &holders[..holders.len().min(MOST_REPLICAS)];
+        let holders = &holders[..holders.len().min(MAX_REPLICAS)];
         let excluded: Vec<BackEndId> = holders
             .iter()
             .enumerate()
@@ -269,24 +288,28 @@
             .collect();
         let back_end = self.router.choose(self.context, holders, &excluded).ok()?;
         let replica = holders.iter().position(|holder| *holder == back_end)?;
-        Some(Chosen {
+        Some(ChosenReplica {
             back_end,
             replica: replica as u8,
         })
     }
 
-    fn send(&mut self, gather: &mut Gather, shard: ShardId, chosen: Chosen, kind: AttemptKind) {
+    fn send(
+        &mut self,
+        gather: &mut Gather,
+        shard: ShardId,
+        chosen: ChosenReplica,
+        kind: AttemptKind,
+    ) {
         let now = self.context.now;
         let id = self.router.next_attempt_id();
-        gather.open(self.plan, now, shard, id, chosen.replica, kind);
+        gather.record_sent(self.plan, now, shard, id, chosen.replica, kind);
         let attempt = Attempt {
             attempt: id,
             request: self.request,
             service: self.plan.service.service.clone(),
             shard,
-            time_left: self
-                .plan
-                .time_for_attempt(now, self.parameters.network_time),
+            time_left: self.plan.attempt_timeout(now, self.parameters.network_time),
             work: Work::Query {
                 snapshot: self.plan.service.snapshot.clone(),
                 layout: self.plan.service.layout.clone(),
--- a/crates/thornbridge-core/src/query/shard_latency.rs
+++ b/crates/thornbridge-core/src/query/shard_latency.rs
@@ -1,39 +1,37 @@
-//! Latency of shards, learned online and decayed: for the hedge delay, and for knowing when
-//! waiting no longer helps.
+//! Latency histograms of shards, for the hedge delay and for the decision to answer early.
 
 use super::coverage_allowance::CoverageAllowance;
 use std::time::Duration;
 use thornbridge_proto::ShardId;
 
-/// Buckets in each doubling of the latency: a bucket is at most 19% wide.
+/// Histogram buckets for each doubling of the latency.
 const BUCKETS_PER_OCTAVE: u32 = 4;
-/// Upper edge of the first bucket.
-const FIRST_EDGE_MICROS: u64 = 128;
-/// Doublings covered above the first edge: up to about 8 s.
+/// Upper edge of the first bucket, in microseconds.
+const FIRST_EDGE_US: u64 = 128;
+/// Doublings covered above the first edge.
 const OCTAVES: u32 = 16;
-/// Buckets of a histogram.
 const BUCKETS: usize = (OCTAVES * BUCKETS_PER_OCTAVE) as usize + 1;
-/// When a shard's histogram holds this many observations, all its counts are halved.
+/// Number of observations in a shard's histogram at which its counts are halved.
 const SHARD_WINDOW: u32 = 256;
-/// When a service's histogram holds this many observations, all its counts are halved.
+/// Number of observations in a service's histogram at which its counts are halved.
 const SERVICE_WINDOW: u32 = 8_192;
-/// Observations from which on a histogram is used.
-const ENOUGH_OBSERVATIONS: u32 = 32;
-/// The quantile is computed again after this many observations.
-const QUANTILE_REFRESH: u32 = 16;
-/// A shard's quantile counts as far as this multiple of its service's. A shard with one slow
-/// replica would otherwise learn to wait for that replica.
-const MOST_SLOWER_THAN_SERVICE: u32 = 2;
-
-/// A histogram with logarithmic buckets whose old observations fade by halving.
+/// Number of observations from which a histogram is used.
+const MIN_OBSERVATIONS: u32 = 32;
+/// Number of observations after which the cached quantile is recomputed.
+const OBSERVATIONS_PER_REFRESH: u32 = 16;
+/// Maximum ratio of a shard's quantile to its service's. Bounds the hedge delay of a shard with one
+/// slow replica.
+const MAX_RATIO_TO_SERVICE: u32 = 2;
+
+/// Latency histogram with logarithmic buckets and exponential decay by halving.
 #[derive(Clone, Debug)]
 pub(super) struct DecayedHistogram {
     counts: [u16; BUCKETS],
     total: u32,
     window: u32,
-    /// The quantile last computed, and observations since.
     cached_quantile: Duration,
-    unseen: u32,
+    /// Observations since the cached quantile was computed.
+    since_refresh: u32,
 }
 
 impl DecayedHistogram {
@@ -43,7 +41,7 @@
             total: 0,
             window,
             cached_quantile: Duration::ZERO,
-            unseen: 0,
+            since_refresh: 0,
         }
     }
 
@@ -54,9 +52,9 @@
         if self.total >= self.window {
             self.halve();
         }
-        self.unseen += 1;
-        if self.unseen >= QUANTILE_REFRESH || self.total <= ENOUGH_OBSERVATIONS {
-            self.unseen = 0;
+        self.since_refresh += 1;
+        if self.since_refresh >= OBSERVATIONS_PER_REFRESH || self.total <= MIN_OBSERVATIONS {
+            self.since_refresh = 0;
             self.cached_quantile = self.quantile(quantile);
         }
     }
@@ -69,16 +67,15 @@
         }
     }
 
-    pub(super) fn knows_enough(&self) -> bool {
-        self.total >= ENOUGH_OBSERVATIONS
+    pub(super) fn has_enough_observations(&self) -> bool {
+        self.total >= MIN_OBSERVATIONS
     }
 
-    /// The quantile last computed.
     pub(super) fn cached_quantile(&self) -> Duration {
         self.cached_quantile
     }
 
-    /// The quantile; within its bucket, observations count as spread evenly.
+    /// Quantile, interpolated linearly within its bucket.
     fn quantile(&self, quantile: f64) -> Duration {
         let wanted = (f64::from(self.total) * quantile).ceil();
         let mut below = 0.0;
@@ -94,8 +91,7 @@
         upper_edge(BUCKETS - 1)
     }
 
-    /// Share of observations that took longer than `age`; within a bucket they count as spread
-    /// evenly.
+    /// Share of observations above `age`, interpolated linearly within its bucket.
     fn share_above(&self, age: Duration) -> f64 {
         let bucket = bucket_of(age);
         let above: u32 = self.counts[bucket + 1..]
@@ -110,10 +106,10 @@
     }
 }
 
-/// Latencies of one service, by shard of one layout.
+/// Latencies of one service and of its shards.
 #[derive(Clone, Debug)]
 pub(super) struct ShardLatencies {
-    /// What a latency-first service may give up for speed.
+    /// Coverage that a latency-first service may give up for lower latency.
     pub(super) allowance: CoverageAllowance,
     quantile: f64,
     service: DecayedHistogram,
@@ -121,7 +117,7 @@
 }
 
 impl ShardLatencies {
-    /// Nothing is known; [`Self::usual`] will give this quantile.
+    /// Creates empty histograms. [`Self::learned_quantile`] returns the given quantile.
     pub(super) fn new(quantile: f64, allowance: CoverageAllowance) -> Self {
         Self {
             allowance,
@@ -131,7 +127,7 @@
         }
     }
 
-    /// Makes room for a layout's shards. What is known of the service stays.
+    /// Adds histograms for the shards of a layout.
     pub(super) fn resize(&mut self, shards: usize) {
         if self.shards.len() < shards {
             self.shards
@@ -139,8 +135,8 @@
         }
     }
 
-    /// An attempt ended with hits, or was given up at this age: then the age is a lower bound,
-    /// and leaving it out would make a straggler invisible.
+    /// Records the latency of an attempt with hits, or the age of a cancelled one as a lower bound
+    /// of its latency: otherwise, slow attempts would not be counted.
     pub(super) fn record(&mut self, shard: ShardId, latency: Duration) {
         self.service.record(latency, self.quantile);
         if let Some(histogram) = self.shards.get_mut(shard.0 as usize) {
@@ -148,27 +144,32 @@
         }
     }
 
-    /// Latency that the quantile's share of a shard's attempts stays below; `None` before enough
-    /// is known.
-    pub(super) fn usual(&self, shard: ShardId) -> Option<Duration> {
-        if !self.service.knows_enough() {
+    /// Latency quantile of a shard's attempts; `None` before enough observations.
+    pub(super) fn learned_quantile(&self, shard: ShardId) -> Option<Duration> {
+        if !self.service.has_enough_observations() {
             return None;
         }
         let of_service = self.service.cached_quantile;
         let of_shard = self
             .shards
             .get(shard.0 as usize)
-            .filter(|histogram| histogram.knows_enough())
+            .filter(|histogram| histogram.has_enough_observations())
             .map(|histogram| histogram.cached_quantile);
-        let most = of_service * MOST_SLOWER_THAN_SERVICE;
+        let most = of_service * MAX_RATIO_TO_SERVICE;
         Some(of_shard.map_or(of_service, |latency| latency.min(most)))
     }
 
-    /// Chance that an attempt of this age ends within a further time; 1 before enough is known.
-    pub(super) fn chance_to_end(&self, shard: ShardId, age: Duration, within: Duration) -> f64 {
+    /// Probability that an attempt of this age completes within a further time; 1 before enough
+    /// observations.
+    pub(super) fn completion_probability(
+        &self,
+        shard: ShardId,
+        age: Duration,
+        within: Duration,
+    ) -> f64 {
         let histogram = match self.shards.get(shard.0 as usize) {
-            Some(histogram) if histogram.knows_enough() => histogram,
-            _ if self.service.knows_enough() => &self.service,
+            Some(histogram) if histogram.has_enough_observations() => histogram,
+            _ if self.service.has_enough_observations() => &self.service,
             _ => return 1.0,
         };
         let still_running = histogram.share_above(age);
@@ -180,20 +181,21 @@
     }
 }
 
-/// Bucket that a latency falls into.
+/// Index of the bucket of a latency.
 pub(super) fn bucket_of(latency: Duration) -> usize {
-    let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
-    if micros < FIRST_EDGE_MICROS {
+    let latency_us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
+    if latency_us < FIRST_EDGE_US {
         return 0;
     }
-    let octave = (micros / FIRST_EDGE_MICROS).ilog2();
-    let base = FIRST_EDGE_MICROS.saturating_mul(1 << octave.min(OCTAVES));
-    let step = (micros.saturating_sub(base)).saturating_mul(u64::from(BUCKETS_PER_OCTAVE)) / base;
+    let octave = (latency_us / FIRST_EDGE_US).ilog2();
+    let base = FIRST_EDGE_US.saturating_mul(1 << octave.min(OCTAVES));
+    let step =
+        (latency_us.saturating_sub(base)).saturating_mul(u64::from(BUCKETS_PER_OCTAVE)) / base;
     let bucket = 1 + octave as usize * BUCKETS_PER_OCTAVE as usize + step as usize;
     bucket.min(BUCKETS - 1)
 }
 
-/// Least latency of a bucket.
+/// Inclusive lower edge of a bucket.
 pub(super) fn lower_edge(bucket: usize) -> Duration {
     match bucket.checked_sub(1) {
         Some(previous) => upper_edge(previous),
@@ -201,13 +203,13 @@
     }
 }
 
-/// Latency that all of a bucket stay below.
+/// Exclusive upper edge of a bucket.
 pub(super) fn upper_edge(bucket: usize) -> Duration {
     if bucket == 0 {
-        return Duration::from_micros(FIRST_EDGE_MICROS);
+        return Duration::from_micros(FIRST_EDGE_US);
     }
     let octave = (bucket - 1) as u32 / BUCKETS_PER_OCTAVE;
     let step = (bucket - 1) as u64 % u64::from(BUCKETS_PER_OCTAVE) + 1;
-    let base = FIRST_EDGE_MICROS << octave;
+    let base = FIRST_EDGE_US << octave;
     Duration::from_micros(base + base * step / u64::from(BUCKETS_PER_OCTAVE))
 }
--- a/crates/thornbridge-core/src/query/work.rs
+++ b/crates/thornbridge-core/src/query/shared_state.rs
@@ -1,8 +1,8 @@
-//! What the work on any one query needs: policies, counters, and what is learned of services.
+//! State shared by all queries: parameters, counters and observed latencies of each service.
 
 use super::counters::QueryCounters;
 use super::coverage_allowance::CoverageAllowance;
-use super::hedge::Outlook;
+use super::hedge::Forecast;
 use super::parameters::{HedgePolicy, QueryParameters, WaitPolicy};
 use super::planner::QueryPlan;
 use super::scatter::Scatter;
@@ -15,18 +15,18 @@
 use std::collections::BTreeMap;
 use thornbridge_proto::{RequestId, ServiceName};
 
-/// Quantile that is learned where no policy names one.
+/// Latency quantile tracked if the policy does not specify one.
 const DEFAULT_QUANTILE: f64 = 0.95;
 
-/// What all queries share, apart from the queries themselves.
+/// State shared by all queries.
 #[derive(Debug)]
-pub(super) struct QueryWork {
+pub(super) struct SharedState {
     pub(super) parameters: QueryParameters,
     pub(super) counters: QueryCounters,
     latencies: BTreeMap<ServiceName, ShardLatencies>,
 }
 
-impl QueryWork {
+impl SharedState {
     pub(super) fn new(parameters: QueryParameters) -> Self {
         Self {
             parameters,
@@ -35,18 +35,18 @@
         }
     }
 
-    /// Forgets services that a new configuration does not have.
+    /// Drops the latencies of services that are not in the new configuration.
     pub(super) fn install(&mut self, in_force: &InForce) {
         self.latencies
             .retain(|service, _| in_force.service(service).is_some());
     }
 
-    /// What is learned of a plan's service.
+    /// Observed latencies of a plan's service.
     pub(super) fn latencies_of(&mut self, plan: &QueryPlan) -> &mut ShardLatencies {
         latencies_of(&mut self.latencies, &self.parameters, plan)
     }
 
-    /// The sending of attempts for one query.
+    /// Sender of attempts for one query.
     pub(super) fn scatter<'a, 'c>(
         &'a mut self,
         context: &'a mut Context<'c>,
@@ -66,14 +66,14 @@
         }
     }
 
-    /// What is to be expected of one query.
-    pub(super) fn outlook<'a>(
+    /// Forecast of one query's progress.
+    pub(super) fn forecast<'a>(
         &'a mut self,
         now: Timestamp,
         router: &'a Router,
         plan: &'a QueryPlan,
-    ) -> Outlook<'a> {
-        Outlook {
+    ) -> Forecast<'a> {
+        Forecast {
             now,
             parameters: &self.parameters,
             latencies: latencies_of(&mut self.latencies, &self.parameters, plan),
@@ -106,7 +106,7 @@
     }
     let latencies = latencies
         .get_mut(service)
-        .expect("the entry was inserted above");
+        .expect("an entry for the service was inserted above");
     latencies.resize(plan.shards_total());
     latencies
 }
--- a/crates/thornbridge-core/src/query/tests.rs
+++ b/crates/thornbridge-core/src/query/tests.rs
@@ -8,7 +8,7 @@
 use thornbridge_proto::caller::Hit;
 use thornbridge_proto::{DocumentId, ShardId};
 
-fn fixed() -> Config {
+fn fixed_seed() -> Config {
     Config {
         rng_seed: RngSeed::Fixed(5),
         failure_persistence: None,
@@ -28,8 +28,8 @@
     })
 }
 
-/// The plainest merge: best score of each document, all sorted, cut.
-fn merge_plainly(shards: &[Vec<Hit>], limit: usize) -> Vec<(String, f64)> {
+/// Reference implementation of the merge: sorts the best score of each document.
+fn merge_by_sorting(shards: &[Vec<Hit>], limit: usize) -> Vec<(String, f64)> {
     let mut best: BTreeMap<String, f64> = BTreeMap::new();
     for hit in shards.iter().flatten() {
         let score = best.entry(hit.document.to_string()).or_insert(hit.score);
@@ -52,26 +52,26 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed())]
 
-    /// Bounded merging equals plain merging, in any order of the shards.
     #[test]
-    fn merge_is_that_of_a_plain_sort(
+    fn bounded_merge_equals_full_sort_in_any_shard_order(
         shards in prop::collection::vec(prop::collection::vec(hit(), 0..40), 0..12),
         limit in 1..30usize,
     ) {
-        let expected = merge_plainly(&shards, limit);
+        let expected = merge_by_sorting(&shards, limit);
         prop_assert_eq!(&merge(shards.iter().cloned(), limit), &expected);
         prop_assert_eq!(&merge(shards.iter().rev().cloned(), limit), &expected);
     }
 
-    /// A learned quantile lies in the bucket of the true one.
     #[test]
-    fn learned_quantile_is_close(micros in prop::collection::vec(200..50_000u64, 60..200)) {
+    fn learned_quantile_is_in_bucket_of_exact_quantile(
+        micros in prop::collection::vec(200..50_000u64, 60..200)
+    ) {
         let shard = ShardId(0);
         let mut latencies = latencies();
         latencies.resize(1);
-        // The cached value is computed anew with each 16th observation.
+        // The cached quantile is recomputed every 16 observations.
         let micros = &micros[..micros.len() / 16 * 16];
         for micros in micros {
             latencies.record(shard, Duration::from_micros(*micros));
@@ -79,15 +79,14 @@
         let mut sorted = micros.to_vec();
         sorted.sort_unstable();
         let exact = sorted[(sorted.len() as f64 * 0.95).ceil() as usize - 1];
-        let learned = latencies.usual(shard).unwrap();
+        let learned = latencies.learned_quantile(shard).unwrap();
         let bucket = bucket_of(Duration::from_micros(exact));
         let within = lower_edge(bucket) <= learned && learned <= upper_edge(bucket);
         prop_assert!(within, "{learned:?} for {exact} us");
     }
 
-    /// The chance to end falls with age where nothing slower was seen, and lies in 0 to 1.
     #[test]
-    fn chance_to_end_is_a_probability(
+    fn completion_probability_is_bounded_and_grows_with_time(
         micros in prop::collection::vec(200..50_000u64, 40..100),
         age in 0..100_000u64,
         within in 0..100_000u64,
@@ -99,26 +98,31 @@
             latencies.record(shard, Duration::from_micros(micros));
         }
         let age = Duration::from_micros(age);
-        let chance = latencies.chance_to_end(shard, age, Duration::from_micros(within));
-        prop_assert!((0.0..=1.0).contains(&chance));
-        let longer = latencies.chance_to_end(shard, age, Duration::from_micros(within + 5_000));
-        prop_assert!(longer + 1e-9 >= chance);
+        let probability =
+            latencies.completion_probability(shard, age, Duration::from_micros(within));
+        prop_assert!((0.0..=1.0).contains(&probability));
+        let longer =
+            latencies.completion_probability(shard, age, Duration::from_micros(within + 5_000));
+        prop_assert!(longer + 1e-9 >= probability);
     }
 }
 
 #[test]
-fn nothing_is_known_before_enough_observations() {
+fn quantile_is_none_before_enough_observations() {
     let shard = ShardId(0);
     let mut latencies = latencies();
     latencies.resize(1);
     latencies.record(shard, Duration::from_millis(1));
-    assert_eq!(latencies.usual(shard), None);
+    assert_eq!(latencies.learned_quantile(shard), None);
     let age = Duration::from_secs(1);
-    assert_eq!(latencies.chance_to_end(shard, age, Duration::ZERO), 1.0);
+    assert_eq!(
+        latencies.completion_probability(shard, age, Duration::ZERO),
+        1.0
+    );
 }
 
 #[test]
-fn old_latencies_fade() {
+fn old_latencies_decay() {
     let shard = ShardId(0);
     let mut latencies = latencies();
     latencies.resize(1);
@@ -128,11 +132,11 @@
     for _ in 0..60_000 {
         latencies.record(shard, Duration::from_millis(2));
     }
-    assert!(latencies.usual(shard).unwrap() < Duration::from_millis(3));
+    assert!(latencies.learned_quantile(shard).unwrap() < Duration::from_millis(3));
 }
 
 #[test]
-fn coverage_given_up_stays_below_the_allowance() {
+fn mean_missing_coverage_stays_below_allowance() {
     let mut allowance = CoverageAllowance::new(0.01, 0.9);
     let mut missing = 0.0;
     for answer in 0..10_000 {
@@ -140,7 +144,7 @@
         let cut = slow && allowance.covers(0.125);
         missing += if cut { 0.125 } else { 0.0 };
         let latency = Duration::from_millis(if slow { 50 } else { 10 });
-        allowance.answered(latency, if cut { 0.125 } else { 0.0 });
+        allowance.record_answer(latency, if cut { 0.125 } else { 0.0 });
     }
     let mean = missing / 10_000.0;
     assert!(mean <= 0.01 && mean > 0.009, "{mean}");
--- a/crates/thornbridge-core/src/query/timers.rs
+++ b/crates/thornbridge-core/src/query/timers.rs
@@ -1,16 +1,16 @@
-//! When each query wants to be looked at: ordered by time, one entry a query.
+//! Timers of queries, ordered by time; at most one for each query.
 
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// Wake-up times of queries, by the query's sequence number.
+/// Timers by due time and the query's sequence number.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     entries: BTreeSet<(Timestamp, u64)>,
 }
 
 impl Timers {
-    /// Moves a query's entry from one time to another.
+    /// Replaces a query's timer.
     pub(super) fn reset(&mut self, sequence: u64, old: Option<Timestamp>, new: Option<Timestamp>) {
         if old == new {
             return;
@@ -23,12 +23,12 @@
         }
     }
 
-    /// The earliest time.
+    /// Due time of the earliest timer.
     pub(super) fn next(&self) -> Option<Timestamp> {
         self.entries.first().map(|(time, _)| *time)
     }
 
-    /// The query whose time came first, if its time has come. Its entry stays.
+    /// Query of the earliest timer, if due. Does not remove the timer.
     pub(super) fn due(&self, now: Timestamp) -> Option<u64> {
         let (time, sequence) = self.entries.first()?;
         (*time <= now).then_some(*sequence)
