--- a/crates/thornbridge-node/src/peers/link.rs
+++ b/crates/thornbridge-node/src/peers/link.rs
@@ -1,9 +1,9 @@
-//! An established link: frames out of a queue, frames in as events, until it ends.
+//! Established link: sends frames from a queue and passes received frames on as events.
 
+use super::counters::{AtomicPeerCounters, LinkError, add, increment};
 use super::handshake::{Established, Reader, Writer};
 use super::queue::SendQueue;
-use super::refusal::{PeerTally, Refused, add, count};
-use super::session::Direction;
+use super::session::FrameAuthenticator;
 use crate::input::InputSender;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -16,39 +16,40 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Length prefix of a frame.
-const LENGTH_BYTES: u64 = 4;
+/// Size of a frame's length prefix.
+const LENGTH_PREFIX_BYTES: u64 = 4;
 
 /// How a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkEnd {
-    /// One side said goodbye: nothing to say for a while, or a planned stop.
-    Goodbye,
-    /// It broke, or the other side misbehaved.
-    Cut(Refused),
+    /// Closed by a close frame (idle link or planned stop), or because the driver has ended.
+    Closed,
+    /// The connection broke, or the peer violated the protocol.
+    Failed(LinkError),
 }
 
 /// Limits of a link.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LinkLimits {
-    /// Time without a frame either way after which it is closed.
+    /// Time without a frame in either direction after which the link is closed.
     pub(super) idle: Duration,
-    /// Time for the other side to take a batch of frames.
+    /// Time for the peer to accept a batch of frames.
     pub(super) write_timeout: Duration,
 }
 
-/// What a link works with.
+/// Environment of a link.
 pub(super) struct LinkContext<'a> {
     pub(super) queue: &'a SendQueue,
     pub(super) inputs: &'a InputSender,
-    pub(super) tally: &'a PeerTally,
+    pub(super) counters: &'a AtomicPeerCounters,
     pub(super) limits: LinkLimits,
-    /// Cancelled at the end of a planned stop: what waits is sent, then goodbye.
+    /// Cancelled at the end of a planned stop: queued messages are sent, then the link is closed.
     pub(super) closing: &'a CancellationToken,
 }
 
-/// Runs a link to its end. Reading and writing do not wait for each other, so that two sides
-/// that both have much to say cannot block one another.
+/// Runs a link to its end.
+///
+/// Reads and writes run concurrently, so that two nodes with full send buffers cannot deadlock.
 pub(super) async fn run(established: Established, context: &LinkContext<'_>) -> LinkEnd {
     let Established {
         peer,
@@ -67,68 +68,69 @@
 async fn receive(
     peer: PeerEndpoint,
     mut reader: Reader,
-    mut direction: Direction,
+    mut authenticator: FrameAuthenticator,
     last_frame: &Mutex<Instant>,
     context: &LinkContext<'_>,
 ) -> LinkEnd {
     loop {
         let sealed = match reader.next().await {
-            None => return LinkEnd::Cut(Refused::Broken),
-            Some(Err(error)) => return LinkEnd::Cut(Refused::of_read(&error)),
+            None => return LinkEnd::Failed(LinkError::ConnectionBroken),
+            Some(Err(error)) => return LinkEnd::Failed(LinkError::from_read_error(&error)),
             Some(Ok(sealed)) => sealed,
         };
-        count(&context.tally.frames_received);
+        increment(&context.counters.frames_received);
         add(
-            &context.tally.bytes_received,
-            LENGTH_BYTES + sealed.len() as u64,
+            &context.counters.bytes_received,
+            LENGTH_PREFIX_BYTES + sealed.len() as u64,
         );
-        touch(last_frame);
-        let Ok(payload) = direction.open(sealed) else {
-            return LinkEnd::Cut(Refused::Tampered);
+        update_last_frame(last_frame);
+        let Ok(payload) = authenticator.open(sealed) else {
+            return LinkEnd::Failed(LinkError::Tampered);
         };
+        // An empty payload is the close frame.
         if payload.is_empty() {
-            return LinkEnd::Goodbye;
+            return LinkEnd::Closed;
         }
         let Ok(message) = frame::decode::<PeerMessage>(&payload) else {
-            return LinkEnd::Cut(Refused::Garbage);
+            return LinkEnd::Failed(LinkError::Malformed);
         };
         let event = Event::PeerMessage {
             from: peer,
             message,
         };
         if context.inputs.event(event).await.is_err() {
-            return LinkEnd::Goodbye;
+            return LinkEnd::Closed;
         }
     }
 }
 
 async fn transmit(
     mut writer: Writer,
-    mut direction: Direction,
+    mut authenticator: FrameAuthenticator,
     last_frame: &Mutex<Instant>,
     context: &LinkContext<'_>,
 ) -> LinkEnd {
     loop {
         let messages = context.queue.take();
         if !messages.is_empty() {
-            let sealed = messages.iter().map(|message| direction.seal(message));
-            let writing = write(&mut writer, sealed, context.tally);
+            let sealed = messages.iter().map(|message| authenticator.seal(message));
+            let writing = write(&mut writer, sealed, context.counters);
             match tokio::time::timeout(context.limits.write_timeout, writing).await {
-                Ok(Ok(())) => touch(last_frame),
-                Ok(Err(_)) | Err(_) => return LinkEnd::Cut(Refused::Broken),
+                Ok(Ok(())) => update_last_frame(last_frame),
+                Ok(Err(_)) | Err(_) => return LinkEnd::Failed(LinkError::ConnectionBroken),
             }
             continue;
         }
         let idle_at = *lock(last_frame) + context.limits.idle;
         if context.closing.is_cancelled() || idle_at <= Instant::now() {
-            let goodbye = std::iter::once(direction.seal(&[]));
-            let writing = write(&mut writer, goodbye, context.tally);
-            // Whether the other side hears it or not, this side is done.
+            let close_frame = std::iter::once(authenticator.seal(&[]));
+            let writing = write(&mut writer, close_frame, context.counters);
+            // The link ends here whether or not the peer receives the close frame.
             let _ = tokio::time::timeout(context.limits.write_timeout, writing).await;
-            return LinkEnd::Goodbye;
+            return LinkEnd::Closed;
         }
         tokio::select! {
-            () = context.queue.filled() => {}
+            () = context.queue.message_added() => {}
             () = context.closing.cancelled() => {}
             () = tokio::time::sleep_until(idle_at) => {}
         }
@@ -138,17 +140,20 @@
 async fn write(
     writer: &mut Writer,
     frames: impl Iterator<Item = Bytes>,
-    tally: &PeerTally,
+    counters: &AtomicPeerCounters,
 ) -> std::io::Result<()> {
     for sealed in frames {
-        count(&tally.frames_sent);
-        add(&tally.bytes_sent, LENGTH_BYTES + sealed.len() as u64);
+        increment(&counters.frames_sent);
+        add(
+            &counters.bytes_sent,
+            LENGTH_PREFIX_BYTES + sealed.len() as u64,
+        );
         writer.feed(sealed).await?;
     }
     SinkExt::<Bytes>::flush(writer).await
 }
 
-fn touch(last_frame: &Mutex<Instant>) {
+fn update_last_frame(last_frame: &Mutex<Instant>) {
     *lock(last_frame) = Instant::now();
 }
 
--- a/crates/thornbridge-node/src/peers/mod.rs
+++ b/crates/thornbridge-node/src/peers/mod.rs
@@ -1,28 +1,29 @@
-//! The interface towards peers: TCP, length-delimited frames, each one `rmp-serde` value.
+//! Links between nodes: TCP with length-delimited frames, each an `rmp-serde` value.
 //!
-//! A link is opened when the core first sends to an address, serves both directions, and is
-//! closed when both sides have been silent for a while. Messages are best effort: each peer has
-//! a bounded queue whose oldest go first, and what waits for a link that cannot be had is
-//! dropped and told to the core as `PeerLinkDown`. [`handshake`] says how peers authenticate.
+//! A link is opened when the core first sends to an address, carries messages in both directions,
+//! and is closed when it has been idle for a while. Delivery is best effort: each peer has a
+//! bounded queue that drops its oldest messages when full. If a link cannot be opened, the queue is
+//! emptied. The core receives `PeerLinkDown` for a link that cannot be opened or that breaks. See
+//! [`handshake`] for the authentication of peers.
 
+mod counters;
 mod handshake;
 mod link;
 mod queue;
-mod refusal;
 mod session;
 mod table;
 #[cfg(test)]
 mod tests;
 
-pub(crate) use refusal::PeerCounters;
+pub(crate) use counters::PeerCounters;
 
 use crate::input::InputSender;
 use crate::sockets;
+use counters::{AtomicPeerCounters, LinkError, increment};
 use handshake::{Established, Identity};
 use link::{LinkContext, LinkEnd, LinkLimits};
 use queue::{QueueLimits, SendQueue};
 use rand::Rng;
-use refusal::{PeerTally, Refused, count};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -37,36 +38,34 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Pause after an accept that failed, as when the process has no descriptor left.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Tunable values of the peer links.
+/// Tunables of the peer links.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerParameters {
-    /// Most peers with a link or a queue. The core speaks to a bounded set of peers; this is a
-    /// limit on memory should it ever not.
+    /// Maximum number of peers with a link or a queue; bounds memory.
     pub links: usize,
-    /// Most connections that have not proved themselves yet.
+    /// Maximum number of incoming connections in the handshake.
     pub greeting_connections: usize,
-    /// Time to open a connection and to greet.
+    /// Time to open a connection and complete the handshake.
     pub hello_timeout: Duration,
-    /// Messages that wait for one peer.
+    /// Maximum number of messages queued for one peer.
     pub queue_messages: usize,
-    /// Bytes that wait for one peer: two whole bundles of the largest size.
+    /// Maximum number of bytes queued for one peer; holds two bundles of maximum size.
     pub queue_bytes: usize,
-    /// Time without a frame either way after which a link is closed.
+    /// Time without a frame in either direction after which a link is closed.
     pub idle: Duration,
-    /// Time for a peer to take a batch of frames, and for the network to acknowledge bytes. A
-    /// link cut by a network that comes back is opened anew, rather than after TCP's long
-    /// retransmission pause.
+    /// Time for a peer to accept a batch of frames, and to acknowledge sent bytes. After a network
+    /// outage, a new link recovers sooner than TCP's retransmission would.
     pub write_timeout: Duration,
-    /// First pause after a dial that failed; doubled with each, and each drawn from its upper
-    /// half, so that nodes that lost the same peer do not dial it together.
+    /// Delay after the first failed dial, doubled with each further failure. Jitter reduces each
+    /// delay by up to half, so that nodes that lost the same peer do not dial it at once.
     pub first_backoff: Duration,
-    /// Longest pause between dials.
+    /// Maximum delay between dials.
     pub longest_backoff: Duration,
-    /// Time that the end of a planned stop waits for the last frames to leave.
+    /// Time to send queued frames at the end of a planned stop.
     pub closing: Duration,
 }
 
@@ -87,7 +86,7 @@
     }
 }
 
-/// All links of one node. Clones are handles of the same links.
+/// Handle of all peer links of a node. Clones share the links.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     shared: Arc<Shared>,
@@ -99,14 +98,14 @@
     parameters: PeerParameters,
     inputs: InputSender,
     table: LinkTable,
-    tally: PeerTally,
+    counters: AtomicPeerCounters,
     closing: CancellationToken,
     aborted: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Shared {
-    /// Runs a task of a link, to its end or until all links are cut.
+    /// Spawns a link's task, which is cancelled by [`Peers::abort`].
     fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let aborted = self.aborted.clone();
         self.tasks.spawn(async move {
@@ -119,7 +118,6 @@
 }
 
 impl Peers {
-    /// No link yet.
     pub(crate) fn new(
         endpoint: PeerEndpoint,
         cluster_key: ClusterKey,
@@ -138,7 +136,7 @@
             table: LinkTable::new(parameters.links, limits),
             parameters,
             inputs,
-            tally: PeerTally::default(),
+            counters: AtomicPeerCounters::default(),
             closing: CancellationToken::new(),
             aborted: CancellationToken::new(),
             tasks: TaskTracker::new(),
@@ -148,43 +146,45 @@
         }
     }
 
-    /// Sends a message, best effort; `false` when it certainly will not leave.
+    /// Queues a message for a peer, dialling if needed; `false` if the message cannot be queued.
     pub(crate) fn send(&self, to: SocketAddr, message: &PeerMessage) -> bool {
         let shared = &self.shared;
         let Ok(encoded) = frame::encode(message) else {
             return false;
         };
-        let Ok(sending) = shared.table.queue_for(to) else {
-            shared.tally.refused(to.ip(), Refused::TooMany);
+        let Ok(handle) = shared.table.queue_for(to) else {
+            shared
+                .counters
+                .record_error(to.ip(), LinkError::TooManyLinks);
             return false;
         };
-        let dropped = sending.queue.push(encoded.into());
-        refusal::add(&shared.tally.messages_dropped, dropped);
-        if sending.dial == Dial::Wanted {
-            let dialling = dial(Arc::clone(shared), to, sending.queue);
+        let dropped = handle.queue.push(encoded.into());
+        counters::add(&shared.counters.messages_dropped, dropped);
+        if handle.dial == Dial::Needed {
+            let dialling = dial(Arc::clone(shared), to, handle.queue);
             shared.spawn(dialling);
         }
         true
     }
 
-    /// Counters of all links.
+    /// Snapshot of the counters of all links.
     pub(crate) fn counters(&self) -> PeerCounters {
-        self.shared.tally.counters()
+        self.shared.counters.snapshot()
     }
 
-    /// Authenticated links.
+    /// Number of authenticated links.
     pub(crate) fn links(&self) -> usize {
         self.shared.table.links()
     }
 
-    /// Forgets peers that were not spoken to for a while.
+    /// Removes peers without a link that have been unused for the idle time.
     pub(crate) fn sweep(&self) {
-        self.shared.table.forget_unused(self.shared.parameters.idle);
+        self.shared.table.remove_unused(self.shared.parameters.idle);
     }
 
-    /// Takes links from peers that dial this node.
+    /// Accepts links from peers until [`Peers::close`].
     pub(crate) async fn listen(self, listener: TcpListener) {
-        let greeting = Arc::new(Semaphore::new(self.shared.parameters.greeting_connections));
+        let handshakes = Arc::new(Semaphore::new(self.shared.parameters.greeting_connections));
         loop {
             let accepted = tokio::select! {
                 () = self.shared.closing.cancelled() => return,
@@ -194,86 +194,92 @@
                 Ok(accepted) => accepted,
                 Err(error) => {
                     log::warn!(side = "peers", error:% = error; "accept failed");
-                    tokio::time::sleep(ACCEPT_RETRY).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let Ok(permit) = Arc::clone(&greeting).try_acquire_owned() else {
-                self.shared.tally.refused(source.ip(), Refused::TooMany);
+            let Ok(permit) = Arc::clone(&handshakes).try_acquire_owned() else {
+                self.shared
+                    .counters
+                    .record_error(source.ip(), LinkError::TooManyLinks);
                 continue;
             };
             let shared = Arc::clone(&self.shared);
             self.shared.spawn(async move {
-                let greeted = greet(&shared, stream, source.ip()).await;
+                let established = accept_handshake(&shared, stream, source.ip()).await;
                 drop(permit);
-                if let Some(established) = greeted {
+                if let Some(established) = established {
                     serve_accepted(shared, established, source.ip()).await;
                 }
             });
         }
     }
 
-    /// Cuts all links at once, as a crash would.
+    /// Cuts all links at once, without sending queued messages.
     pub(crate) fn abort(&self) {
         self.shared.aborted.cancel();
     }
 
-    /// Sends what waits, says goodbye on every link, and waits for the links to end.
+    /// Sends queued messages, closes all links and waits for them to end.
     pub(crate) async fn close(&self) {
         self.shared.closing.cancel();
         self.shared.tasks.close();
         let ended = self.shared.tasks.wait();
-        // A peer that does not take its last frames in this time goes without.
+        // Frames that a peer does not accept within this time are lost.
         let _ = tokio::time::timeout(self.shared.parameters.closing, ended).await;
     }
 }
 
-/// Opens a link for what waits in the queue, and serves it.
+/// Opens a link for queued messages and serves it.
 fn dial(shared: Arc<Shared>, address: SocketAddr, queue: Arc<SendQueue>) -> BoxedTask {
     Box::pin(dial_unboxed(shared, address, queue))
 }
 
 async fn dial_unboxed(shared: Arc<Shared>, address: SocketAddr, queue: Arc<SendQueue>) {
-    if let Some(pause) = shared.table.pause_before_dial(address) {
+    if let Some(backoff) = shared.table.dial_backoff(address) {
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(backoff) => {}
             () = shared.closing.cancelled() => {}
         }
     }
     let timeout = shared.parameters.hello_timeout;
     let dialled = tokio::time::timeout(timeout, connect(&shared, address)).await;
-    match dialled.unwrap_or(Err(Refused::Slow)) {
+    match dialled.unwrap_or(Err(LinkError::HandshakeTimeout)) {
         Ok(established) => {
-            shared.table.dialled(address);
-            serve(&shared, established, address, &queue, address.ip()).await;
+            shared.table.link_dialled(address);
+            serve_link(&shared, established, address, &queue, address.ip()).await;
         }
-        Err(refused) => {
-            shared.tally.refused(address.ip(), refused);
+        Err(error) => {
+            shared.counters.record_error(address.ip(), error);
             let dropped = queue.take().len() as u64;
-            refusal::add(&shared.tally.messages_dropped, dropped);
-            let pause = jittered_backoff(&shared, address);
-            shared.table.dial_failed(address, pause);
+            counters::add(&shared.counters.messages_dropped, dropped);
+            let backoff = jittered_backoff(&shared, address);
+            shared.table.dial_failed(address, backoff);
             let _ = shared.inputs.event(Event::PeerLinkDown { address }).await;
         }
     }
 }
 
-async fn connect(shared: &Shared, address: SocketAddr) -> Result<Established, Refused> {
+async fn connect(shared: &Shared, address: SocketAddr) -> Result<Established, LinkError> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(|_| Refused::Broken)?;
+        .map_err(|_| LinkError::ConnectionBroken)?;
     sockets::prepare(&stream, shared.parameters.write_timeout);
     handshake::dial(stream, &shared.identity).await
 }
 
-async fn greet(shared: &Shared, stream: TcpStream, source: IpAddr) -> Option<Established> {
+async fn accept_handshake(
+    shared: &Shared,
+    stream: TcpStream,
+    source: IpAddr,
+) -> Option<Established> {
     sockets::prepare(&stream, shared.parameters.write_timeout);
-    let greeting = handshake::accept(stream, &shared.identity);
-    let greeted = tokio::time::timeout(shared.parameters.hello_timeout, greeting).await;
-    match greeted.unwrap_or(Err(Refused::Slow)) {
+    let handshake = handshake::accept(stream, &shared.identity);
+    let result = tokio::time::timeout(shared.parameters.hello_timeout, handshake).await;
+    match result.unwrap_or(Err(LinkError::HandshakeTimeout)) {
         Ok(established) => Some(established),
-        Err(refused) => {
-            shared.tally.refused(source, refused);
+        Err(error) => {
+            shared.counters.record_error(source, error);
             None
         }
     }
@@ -281,26 +287,28 @@
 
 async fn serve_accepted(shared: Arc<Shared>, established: Established, source: IpAddr) {
     let address = established.peer.address;
-    let Ok(queue) = shared.table.accepted(address) else {
-        shared.tally.refused(source, Refused::TooMany);
+    let Ok(queue) = shared.table.link_accepted(address) else {
+        shared
+            .counters
+            .record_error(source, LinkError::TooManyLinks);
         return;
     };
-    serve(&shared, established, address, &queue, source).await;
+    serve_link(&shared, established, address, &queue, source).await;
 }
 
-/// Runs a link that the table counts, and takes it off the table at its end.
-async fn serve(
+/// Runs a link that is registered in the table, and removes it from the table at its end.
+async fn serve_link(
     shared: &Arc<Shared>,
     established: Established,
     address: SocketAddr,
     queue: &Arc<SendQueue>,
     source: IpAddr,
 ) {
-    count(&shared.tally.links_opened);
+    increment(&shared.counters.links_opened);
     let context = LinkContext {
         queue,
         inputs: &shared.inputs,
-        tally: &shared.tally,
+        counters: &shared.counters,
         limits: LinkLimits {
             idle: shared.parameters.idle,
             write_timeout: shared.parameters.write_timeout,
@@ -308,28 +316,28 @@
         closing: &shared.closing,
     };
     let end = link::run(established, &context).await;
-    let dial_again = shared.table.link_ended(address);
-    if let LinkEnd::Cut(refused) = end {
-        shared.tally.refused(source, refused);
+    let redial = shared.table.link_ended(address);
+    if let LinkEnd::Failed(error) = end {
+        shared.counters.record_error(source, error);
         if !shared.table.has_link(address) {
             let _ = shared.inputs.event(Event::PeerLinkDown { address }).await;
         }
     }
-    if dial_again == Dial::Wanted {
+    if redial == Dial::Needed {
         let dialling = dial(Arc::clone(shared), address, Arc::clone(queue));
         shared.spawn(dialling);
     }
 }
 
-/// A task that may start another of its own kind, whose type would otherwise be infinite.
+/// Boxed because a link's task may spawn another one: the future's type would be recursive.
 type BoxedTask = std::pin::Pin<Box<dyn Future<Output = ()> + Send>>;
 
 fn jittered_backoff(shared: &Shared, address: SocketAddr) -> Duration {
     let failures = shared.table.failures(address).min(16);
     let parameters = &shared.parameters;
-    let full = parameters
+    let full_backoff = parameters
         .first_backoff
         .saturating_mul(1 << failures)
         .min(parameters.longest_backoff);
-    full.mul_f64(rand::rng().random_range(0.5..=1.0))
+    full_backoff.mul_f64(rand::rng().random_range(0.5..=1.0))
 }
--- a/crates/thornbridge-node/src/peers/queue.rs
+++ b/crates/thornbridge-node/src/peers/queue.rs
@@ -1,83 +1,83 @@
-//! Messages that wait for a link: bounded in number and bytes, the oldest go first.
+//! Bounded queue of messages to a peer. Drops the oldest messages when full.
 
 use bytes::Bytes;
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::Notify;
 
-/// Bounds of a queue.
+/// Limits of a queue.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueueLimits {
-    /// Most messages.
+    /// Maximum number of messages.
     pub(super) messages: usize,
-    /// Most bytes; one message may always wait.
+    /// Maximum number of bytes; a single larger message is kept.
     pub(super) bytes: usize,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Queued {
     messages: VecDeque<Bytes>,
     bytes: usize,
 }
 
-/// Messages on their way to one peer.
+/// Queue of encoded messages to one peer.
 #[derive(Debug)]
 pub(super) struct SendQueue {
     limits: QueueLimits,
-    waiting: Mutex<Waiting>,
-    filled: Notify,
+    queued: Mutex<Queued>,
+    message_added: Notify,
 }
 
 impl SendQueue {
     pub(super) fn new(limits: QueueLimits) -> Self {
         Self {
             limits,
-            waiting: Mutex::default(),
-            filled: Notify::new(),
+            queued: Mutex::default(),
+            message_added: Notify::new(),
         }
     }
 
-    /// Appends a message; gives the number of old ones that had to go. News replaces news: what
-    /// the control protocols say later covers what they said before.
+    /// Appends a message; returns the number of older messages dropped.
+    ///
+    /// Dropping the oldest is safe, since later messages supersede earlier ones.
     pub(super) fn push(&self, message: Bytes) -> u64 {
         let mut dropped = 0;
         {
-            let mut waiting = self.lock();
-            waiting.bytes += message.len();
-            waiting.messages.push_back(message);
-            while waiting.messages.len() > 1 && self.is_over(&waiting) {
-                if let Some(oldest) = waiting.messages.pop_front() {
-                    waiting.bytes -= oldest.len();
+            let mut queued = self.lock();
+            queued.bytes += message.len();
+            queued.messages.push_back(message);
+            while queued.messages.len() > 1 && self.exceeds_limits(&queued) {
+                if let Some(oldest) = queued.messages.pop_front() {
+                    queued.bytes -= oldest.len();
                     dropped += 1;
                 }
             }
         }
-        self.filled.notify_one();
+        self.message_added.notify_one();
         dropped
     }
 
-    /// Takes all messages, without waiting.
+    /// Removes and returns all messages, oldest first.
     pub(super) fn take(&self) -> VecDeque<Bytes> {
-        let mut waiting = self.lock();
-        waiting.bytes = 0;
-        std::mem::take(&mut waiting.messages)
+        let mut queued = self.lock();
+        queued.bytes = 0;
+        std::mem::take(&mut queued.messages)
     }
 
-    /// Whether nothing waits.
     pub(super) fn is_empty(&self) -> bool {
         self.lock().messages.is_empty()
     }
 
-    /// Waits until there may be something to take.
-    pub(super) async fn filled(&self) {
-        self.filled.notified().await;
+    /// Waits until a message was added; may also return without one.
+    pub(super) async fn message_added(&self) {
+        self.message_added.notified().await;
     }
 
-    fn is_over(&self, waiting: &Waiting) -> bool {
-        waiting.messages.len() > self.limits.messages || waiting.bytes > self.limits.bytes
+    fn exceeds_limits(&self, queued: &Queued) -> bool {
+        queued.messages.len() > self.limits.messages || queued.bytes > self.limits.bytes
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, Queued> {
+        self.queued.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/thornbridge-node/src/peers/session.rs
+++ b/crates/thornbridge-node/src/peers/session.rs
@@ -1,7 +1,7 @@
-//! Keys of one link, and the authentication of each frame.
+//! Authentication of a link's frames: HMAC-SHA-256 (RFC 2104) with one key per direction.
 //!
-//! HMAC-SHA-256 (RFC 2104) with one key a direction. The tag of a frame covers its position in
-//! the link, so that a frame that is changed, repeated, left out or moved is noticed.
+//! The tag of a frame covers its sequence number, so that frames that are changed, repeated,
+//! dropped or reordered are detected.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use hmac::{Hmac, Mac};
@@ -9,22 +9,22 @@
 
 /// Length of a frame's tag: HMAC truncated to half of SHA-256's output (RFC 2104, section 5).
 pub(super) const TAG_BYTES: usize = 16;
-/// Length of a key and of a whole HMAC.
+/// Length of a key and of an untruncated HMAC.
 pub(super) const KEY_BYTES: usize = 32;
 
 type HmacSha256 = Hmac<Sha256>;
 
-/// HMAC of several parts, each preceded by its length, so that parts cannot run into another.
+/// HMAC of several parts, each prefixed with its length so that the encoding is unambiguous.
 pub(super) fn mac_of_parts(key: &[u8], parts: &[&[u8]]) -> [u8; KEY_BYTES] {
-    keyed(key, parts).finalize().into_bytes().into()
+    mac_over(key, parts).finalize().into_bytes().into()
 }
 
-/// Checks an HMAC of several parts in constant time.
-pub(super) fn verify_parts(key: &[u8], parts: &[&[u8]], expected: &[u8]) -> bool {
-    keyed(key, parts).verify_slice(expected).is_ok()
+/// Verifies an HMAC of several parts in constant time.
+pub(super) fn verify_mac_of_parts(key: &[u8], parts: &[&[u8]], expected: &[u8]) -> bool {
+    mac_over(key, parts).verify_slice(expected).is_ok()
 }
 
-fn keyed(key: &[u8], parts: &[&[u8]]) -> HmacSha256 {
+fn mac_over(key: &[u8], parts: &[&[u8]]) -> HmacSha256 {
     let mut mac = new_mac(key);
     for part in parts {
         mac.update(&(part.len() as u64).to_be_bytes());
@@ -34,31 +34,29 @@
 }
 
 fn new_mac(key: &[u8]) -> HmacSha256 {
-    // HMAC takes keys of any length, so that this never panics.
     HmacSha256::new_from_slice(key).expect("HMAC takes keys of any length")
 }
 
-/// A frame's tag does not fit: it was changed, repeated, or another one is missing.
+/// Error: the tag of a frame does not match its payload and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Tampered;
 
-/// One direction of a link.
+/// Seals or opens the frames of one direction of a link.
 #[derive(Clone)]
-pub(super) struct Direction {
+pub(super) struct FrameAuthenticator {
     mac: HmacSha256,
-    position: u64,
+    sequence: u64,
 }
 
-impl Direction {
-    /// A direction at its first frame.
+impl FrameAuthenticator {
     pub(super) fn new(key: &[u8; KEY_BYTES]) -> Self {
         Self {
             mac: new_mac(key),
-            position: 0,
+            sequence: 0,
         }
     }
 
-    /// The payload with its tag after it.
+    /// Appends the tag to the payload of the next frame.
     pub(super) fn seal(&mut self, payload: &[u8]) -> Bytes {
         let tag = self.next_mac(payload).finalize().into_bytes();
         let mut frame = BytesMut::with_capacity(payload.len() + TAG_BYTES);
@@ -67,7 +65,7 @@
         frame.freeze()
     }
 
-    /// Takes the tag off after checking it.
+    /// Verifies and removes the tag of the next frame.
     pub(super) fn open(&mut self, mut frame: BytesMut) -> Result<BytesMut, Tampered> {
         let length = frame.len().checked_sub(TAG_BYTES).ok_or(Tampered)?;
         let tag = frame.split_off(length);
@@ -78,11 +76,11 @@
     }
 
     fn next_mac(&mut self, payload: &[u8]) -> HmacSha256 {
-        // A clone of the keyed state saves two of the four compressions of a short frame.
+        // Cloning the keyed state avoids hashing the key again for each frame.
         let mut mac = self.mac.clone();
-        mac.update(&self.position.to_be_bytes());
+        mac.update(&self.sequence.to_be_bytes());
         mac.update(payload);
-        self.position += 1;
+        self.sequence += 1;
         mac
     }
 }
--- a/crates/thornbridge-node/src/peers/tests.rs
+++ b/crates/thornbridge-node/src/peers/tests.rs
@@ -1,8 +1,8 @@
-//! Links between nodes of one cluster, and against everything else that may dial.
+//! Links between nodes of a cluster, and rejection of other connections.
 
 use super::handshake::{self, Identity};
 use super::queue::{QueueLimits, SendQueue};
-use super::session::Direction;
+use super::session::FrameAuthenticator;
 use super::{PeerParameters, Peers};
 use crate::input::{self, Input, InputReceiver};
 use assert_matches::assert_matches;
@@ -20,8 +20,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// One side of a link, with what its driver would get.
-struct Side {
+/// Node with peer links, and the inputs for its driver.
+struct TestNode {
     peers: Peers,
     receiver: InputReceiver,
     endpoint: PeerEndpoint,
@@ -29,15 +29,15 @@
 
 const MESSAGE: PeerMessage = PeerMessage::Health(HealthMessage::Request);
 
-async fn side(node: u64, key: &ClusterKey) -> Side {
+async fn start_node(node: u64, key: &ClusterKey) -> TestNode {
     let parameters = PeerParameters {
         hello_timeout: Duration::from_secs(20),
         ..PeerParameters::default()
     };
-    side_with(node, key, parameters).await
+    start_node_with(node, key, parameters).await
 }
 
-async fn side_with(node: u64, key: &ClusterKey, parameters: PeerParameters) -> Side {
+async fn start_node_with(node: u64, key: &ClusterKey, parameters: PeerParameters) -> TestNode {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let endpoint = PeerEndpoint {
         node: NodeId(node),
@@ -46,14 +46,14 @@
     let (inputs, receiver) = input::channel(64);
     let peers = Peers::new(endpoint, key.clone(), parameters, inputs);
     tokio::spawn(peers.clone().listen(listener));
-    Side {
+    TestNode {
         peers,
         receiver,
         endpoint,
     }
 }
 
-impl Side {
+impl TestNode {
     async fn next(&mut self) -> Event {
         match self.receiver.inputs.recv().await {
             Some(Input::Core(event)) => event,
@@ -74,8 +74,8 @@
         });
     }
 
-    /// Waits until the counters say so.
-    async fn until(&self, condition: impl Fn(&super::PeerCounters) -> bool) {
+    /// Waits until the counters satisfy `condition`.
+    async fn wait_for_counters(&self, condition: impl Fn(&super::PeerCounters) -> bool) {
         while !condition(&self.peers.counters()) {
             tokio::task::yield_now().await;
         }
@@ -87,9 +87,9 @@
 }
 
 #[tokio::test]
-async fn one_link_serves_both_directions() {
+async fn link_carries_messages_in_both_directions() {
     let key = key();
-    let (mut left, mut right) = (side(1, &key).await, side(2, &key).await);
+    let (mut left, mut right) = (start_node(1, &key).await, start_node(2, &key).await);
     assert!(left.peers.send(right.endpoint.address, &MESSAGE));
     right.expect_message_from(left.endpoint).await;
     assert!(right.peers.send(left.endpoint.address, &MESSAGE));
@@ -99,47 +99,47 @@
 }
 
 #[tokio::test]
-async fn a_foreign_cluster_is_refused_by_both_sides() {
-    let (mut left, right) = (side(1, &key()).await, side(2, &key()).await);
+async fn both_sides_refuse_wrong_cluster_key() {
+    let (mut left, right) = (start_node(1, &key()).await, start_node(2, &key()).await);
     left.peers.send(right.endpoint.address, &MESSAGE);
     left.expect_link_down(right.endpoint.address).await;
     right
-        .until(|counters| counters.refused_foreign_cluster == 1)
+        .wait_for_counters(|counters| counters.refused_foreign_cluster == 1)
         .await;
     assert_eq!(right.peers.links(), 0);
     assert_eq!(right.peers.counters().frames_received, 0);
     assert_eq!(left.peers.counters().messages_dropped, 1);
 }
 
-/// Position of the node's id in a greeting: after magic, version, and two array markers.
-const NODE_ID_POSITION: usize = 8;
+/// Offset of the node id in Hello: after magic, version and two array markers.
+const NODE_ID_OFFSET: usize = 8;
 
-/// Takes a dial and answers it with the dialer's own greeting, under `node` as the id.
-async fn echo_greeting(listener: &TcpListener, node: u8) -> TcpStream {
+/// Accepts a connection and echoes the dialer's Hello, with its node id replaced.
+async fn echo_hello(listener: &TcpListener, node: u8) -> TcpStream {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.unwrap();
-    let mut greeting = vec![0; u32::from_be_bytes(length) as usize];
-    stream.read_exact(&mut greeting).await.unwrap();
-    assert_eq!(greeting[NODE_ID_POSITION], 1);
-    greeting[NODE_ID_POSITION] = node;
+    let mut hello = vec![0; u32::from_be_bytes(length) as usize];
+    stream.read_exact(&mut hello).await.unwrap();
+    assert_eq!(hello[NODE_ID_OFFSET], 1);
+    hello[NODE_ID_OFFSET] = node;
     stream.write_all(&length).await.unwrap();
-    stream.write_all(&greeting).await.unwrap();
+    stream.write_all(&hello).await.unwrap();
     stream
 }
 
 #[tokio::test]
-async fn a_listener_that_echoes_is_not_believed() {
+async fn echoed_hello_and_proof_are_refused() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let mut left = side(1, &key()).await;
+    let mut left = start_node(1, &key()).await;
     left.peers.send(address, &MESSAGE);
-    let _stream = echo_greeting(&listener, 1).await;
+    let _stream = echo_hello(&listener, 1).await;
     left.expect_link_down(address).await;
     assert_eq!(left.peers.counters().refused_myself, 1);
 
     left.peers.send(address, &MESSAGE);
-    let mut stream = echo_greeting(&listener, 2).await;
+    let mut stream = echo_hello(&listener, 2).await;
     let mut proof = [0; 4 + 32];
     stream.read_exact(&mut proof).await.unwrap();
     stream.write_all(&proof).await.unwrap();
@@ -149,21 +149,21 @@
 }
 
 #[tokio::test]
-async fn whatever_is_not_a_peer_is_refused_and_counted() {
-    let side = side(1, &key()).await;
+async fn malformed_handshakes_are_refused_and_counted() {
+    let node = start_node(1, &key()).await;
     let version = PROTOCOL_VERSION.to_be_bytes();
     let other_version = (PROTOCOL_VERSION + 1).to_be_bytes();
-    let greetings: [&[u8]; 4] = [
+    let hellos: [&[u8]; 4] = [
         b"\0\0\0\x08GET / HT",
         b"\0\0\0\x02tb",
         &[b"\0\0\0\x09tbpr".as_slice(), &version, b"\xff\xff\xff"].concat(),
         &[b"\0\0\0\x06tbpr".as_slice(), &other_version].concat(),
     ];
-    for greeting in greetings {
-        send_and_see_close(side.endpoint.address, greeting).await;
+    for hello in hellos {
+        send_and_expect_close(node.endpoint.address, hello).await;
     }
-    send_and_see_close(side.endpoint.address, b"GET / HTTP/1.1\r\n\r\n").await;
-    side.until(|counters| {
+    send_and_expect_close(node.endpoint.address, b"GET / HTTP/1.1\r\n\r\n").await;
+    node.wait_for_counters(|counters| {
         counters.refused_garbage == 3
             && counters.refused_unknown_version == 1
             && counters.refused_oversized == 1
@@ -171,17 +171,17 @@
     .await;
 }
 
-async fn send_and_see_close(address: SocketAddr, bytes: &[u8]) {
+async fn send_and_expect_close(address: SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     let mut rest = Vec::new();
-    // A reset is a close as well: the listener left bytes unread.
+    // A reset counts as a close: the listener left bytes unread.
     let _ = stream.read_to_end(&mut rest).await;
     assert!(rest.is_empty(), "{rest:?}");
 }
 
-/// A peer that holds the key, and whose frames are under the test's control.
-async fn rogue(side: &Side, key: &ClusterKey) -> handshake::Established {
+/// Links to a node as a peer that holds the key and whose frames the test controls.
+async fn dial_raw(node: &TestNode, key: &ClusterKey) -> handshake::Established {
     let identity = Identity {
         endpoint: PeerEndpoint {
             node: NodeId(99),
@@ -189,44 +189,44 @@
         },
         cluster_key: key.clone(),
     };
-    let stream = TcpStream::connect(side.endpoint.address).await.unwrap();
+    let stream = TcpStream::connect(node.endpoint.address).await.unwrap();
     handshake::dial(stream, &identity).await.unwrap()
 }
 
 #[tokio::test]
-async fn a_repeated_frame_cuts_the_link() {
+async fn repeated_frame_cuts_link() {
     let key = key();
-    let mut side = side(1, &key).await;
-    let mut rogue = rogue(&side, &key).await;
+    let mut node = start_node(1, &key).await;
+    let mut raw = dial_raw(&node, &key).await;
     let payload = thornbridge_proto::frame::encode(&MESSAGE).unwrap();
-    let sealed = rogue.outgoing.seal(&payload);
-    rogue.writer.send(sealed.clone()).await.unwrap();
-    rogue.writer.send(sealed).await.unwrap();
-    side.expect_message_from(PeerEndpoint {
+    let sealed = raw.outgoing.seal(&payload);
+    raw.writer.send(sealed.clone()).await.unwrap();
+    raw.writer.send(sealed).await.unwrap();
+    node.expect_message_from(PeerEndpoint {
         node: NodeId(99),
         address: "127.0.0.1:9".parse().unwrap(),
     })
     .await;
-    side.expect_link_down("127.0.0.1:9".parse().unwrap()).await;
-    assert_eq!(side.peers.counters().refused_tampered, 1);
-    assert_eq!(side.peers.links(), 0);
+    node.expect_link_down("127.0.0.1:9".parse().unwrap()).await;
+    assert_eq!(node.peers.counters().refused_tampered, 1);
+    assert_eq!(node.peers.links(), 0);
 }
 
 #[tokio::test]
-async fn an_authenticated_frame_that_is_no_message_cuts_the_link() {
+async fn authenticated_malformed_message_cuts_link() {
     let key = key();
-    let mut side = side(1, &key).await;
-    let mut rogue = rogue(&side, &key).await;
-    let sealed = rogue.outgoing.seal(b"\xc1 is no MessagePack");
-    rogue.writer.send(sealed).await.unwrap();
-    side.expect_link_down("127.0.0.1:9".parse().unwrap()).await;
-    assert_eq!(side.peers.counters().refused_garbage, 1);
+    let mut node = start_node(1, &key).await;
+    let mut raw = dial_raw(&node, &key).await;
+    let sealed = raw.outgoing.seal(b"\xc1 is no MessagePack");
+    raw.writer.send(sealed).await.unwrap();
+    node.expect_link_down("127.0.0.1:9".parse().unwrap()).await;
+    assert_eq!(node.peers.counters().refused_garbage, 1);
 }
 
 #[tokio::test]
-async fn an_unreachable_peer_is_told_and_dialled_again_later() {
+async fn unreachable_peer_is_reported_and_redialled() {
     let key = key();
-    let mut left = side(1, &key).await;
+    let mut left = start_node(1, &key).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -239,9 +239,9 @@
 }
 
 #[tokio::test]
-async fn a_planned_end_sends_what_waits_and_is_no_broken_link() {
+async fn close_sends_queued_messages_without_link_down() {
     let key = key();
-    let (left, mut right) = (side(1, &key).await, side(2, &key).await);
+    let (left, mut right) = (start_node(1, &key).await, start_node(2, &key).await);
     left.peers.send(right.endpoint.address, &MESSAGE);
     left.peers.close().await;
     right.expect_message_from(left.endpoint).await;
@@ -253,9 +253,9 @@
 }
 
 #[tokio::test]
-async fn an_aborted_node_is_noticed_as_a_broken_link() {
+async fn abort_is_reported_as_link_down() {
     let key = key();
-    let (left, mut right) = (side(1, &key).await, side(2, &key).await);
+    let (left, mut right) = (start_node(1, &key).await, start_node(2, &key).await);
     left.peers.send(right.endpoint.address, &MESSAGE);
     right.expect_message_from(left.endpoint).await;
     left.peers.abort();
@@ -263,14 +263,14 @@
 }
 
 #[tokio::test]
-async fn an_idle_link_is_closed_without_alarm() {
+async fn idle_link_closes_without_link_down() {
     let key = key();
-    let idle = PeerParameters {
+    let parameters = PeerParameters {
         idle: Duration::from_secs(30),
         ..PeerParameters::default()
     };
-    let left = side_with(1, &key, idle.clone()).await;
-    let mut right = side_with(2, &key, idle).await;
+    let left = start_node_with(1, &key, parameters.clone()).await;
+    let mut right = start_node_with(2, &key, parameters).await;
     left.peers.send(right.endpoint.address, &MESSAGE);
     right.expect_message_from(left.endpoint).await;
     tokio::time::pause();
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_its_oldest() {
+fn full_queue_drops_oldest_messages() {
     let queue = SendQueue::new(QueueLimits {
         messages: 2,
         bytes: 10,
@@ -309,11 +309,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn frames_open_in_their_order_only(
+    fn frames_open_only_in_order_and_unchanged(
         payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..64), 1..8),
         flip in any::<(prop::sample::Index, prop::sample::Index, u8)>(),
     ) {
-        let (mut sender, mut receiver) = (Direction::new(&[7; 32]), Direction::new(&[7; 32]));
+        let (mut sender, mut receiver) =
+            (FrameAuthenticator::new(&[7; 32]), FrameAuthenticator::new(&[7; 32]));
         let sealed: Vec<Bytes> = payloads.iter().map(|payload| sender.seal(payload)).collect();
         for (payload, frame) in payloads.iter().zip(&sealed) {
             let opened = receiver.open(BytesMut::from(frame.as_ref()));
@@ -325,11 +326,13 @@
         let mut changed = BytesMut::from(sealed[0].as_ref());
         let position = flip.1.index(changed.len());
         changed[position] ^= 1 << (flip.2 % 8);
-        prop_assert!(Direction::new(&[7; 32]).open(changed).is_err());
+        prop_assert!(FrameAuthenticator::new(&[7; 32]).open(changed).is_err());
     }
 
     #[test]
-    fn any_bytes_open_to_an_error(bytes in prop::collection::vec(any::<u8>(), 0..128)) {
-        prop_assert!(Direction::new(&[7; 32]).open(BytesMut::from(bytes.as_slice())).is_err());
+    fn arbitrary_bytes_do_not_open(bytes in prop::collection::vec(any::<u8>(), 0..128)) {
+        prop_assert!(
+            FrameAuthenticator::new(&[7; 32]).open(BytesMut::from(bytes.as_slice())).is_err()
+        );
     }
 }
