--- a/crates/thornbridge-core/benches/dissemination.rs
+++ b/crates/thornbridge-core/benches/dissemination.rs
@@ -139,7 +139,7 @@
         );
     });
     let mut ahead = register();
-    let base = ahead.in_force().expect("accepted").record.digest;
+    let base = ahead.active().expect("accepted").record.digest;
     take(&mut ahead, delta.clone());
     let request = ConfigurationMessage::Request {
         base: Some(base),
@@ -149,7 +149,7 @@
         bencher.iter(|| black_box(take(&mut ahead, request.clone())));
     });
     let announcement = ConfigurationMessage::Announce {
-        summary: ahead.in_force().map(|in_force| in_force.summary),
+        summary: ahead.active().map(|active| active.summary),
         platform_age_ms: Some(100),
     };
     criterion.bench_function("take an announcement", |bencher| {
--- a/crates/thornbridge-core/benches/routing.rs
+++ b/crates/thornbridge-core/benches/routing.rs
@@ -14,7 +14,7 @@
     Snapshot,
 };
 use thornbridge_config::canonical;
-use thornbridge_core::configuration::InForce;
+use thornbridge_core::configuration::ActiveConfiguration;
 use thornbridge_core::membership::MemberView;
 use thornbridge_core::routing::{AttemptOwner, Router, RoutingParameters};
 use thornbridge_core::{Action, Context, Signal, Timestamp};
@@ -77,7 +77,7 @@
     }
 }
 
-fn in_force(bundle: Bundle) -> Arc<InForce> {
+fn active_configuration(bundle: Bundle) -> Arc<ActiveConfiguration> {
     let record = GenerationRecord {
         generation: Generation(1),
         version: bundle.version.clone(),
@@ -86,7 +86,7 @@
         key_id: String::new(),
         signature: Vec::new(),
     };
-    Arc::new(InForce::new(record, bundle).expect("is consistent"))
+    Arc::new(ActiveConfiguration::new(record, bundle).expect("is consistent"))
 }
 
 fn view(nodes: u64) -> Arc<MemberView> {
@@ -215,8 +215,8 @@
         let shards_of = bundle.services[0].layouts[0].shards.clone();
         let view = view(12);
         bench.call(|router, context| router.members_changed(context, &view));
-        let in_force = in_force(bundle);
-        bench.call(|router, context| router.install(context, &in_force));
+        let active = active_configuration(bundle);
+        bench.call(|router, context| router.install(context, &active));
         bench.open_connections();
         let mut next = 0;
         let name = format!("choose, dispatch and reply, {shards} shards of {replicas}");
@@ -233,14 +233,14 @@
     let mut group = criterion.benchmark_group("whole subset");
     group.sample_size(10);
     for (nodes, shards, replicas) in [(40, 16, 12), (160, 64, 12), (690, 190, 17)] {
-        let in_force = in_force(bundle(shards, replicas, nodes));
+        let active = active_configuration(bundle(shards, replicas, nodes));
         let view = view(u64::from(nodes));
         let name = format!("{nodes} nodes, {} servers", shards * replicas);
         group.bench_function(&name, |bencher| {
             bencher.iter_with_large_drop(|| {
                 let mut bench = Bench::new();
                 bench.call(|router, context| router.members_changed(context, &view));
-                bench.call(|router, context| router.install(context, &in_force));
+                bench.call(|router, context| router.install(context, &active));
                 bench
             });
         });
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -28,7 +28,7 @@
 
 pub use parameters::{ActionCounters, ActionParameters};
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::driver_action::{CallerId, OperationId};
 use crate::limits::{Admission, AdmissionRefusal, AdmissionRequest};
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct ActionEngine {
     parameters: ActionParameters,
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
     view: Option<Arc<MemberView>>,
     outbox: Outbox,
     member: GroupMember,
@@ -80,7 +80,7 @@
     /// Creates an engine without a configuration or a group.
     pub fn new(parameters: ActionParameters, own: PeerEndpoint) -> Self {
         Self {
-            in_force: None,
+            active: None,
             view: None,
             outbox: Outbox::new(own),
             member: GroupMember::new(&parameters),
@@ -114,8 +114,8 @@
     }
 
     /// Applies a new configuration; actions in flight keep theirs.
-    pub fn install(&mut self, in_force: &Arc<InForce>) {
-        self.in_force = Some(Arc::clone(in_force));
+    pub fn install(&mut self, active: &Arc<ActiveConfiguration>) {
+        self.active = Some(Arc::clone(active));
     }
 
     /// Applies a new member list.
@@ -138,7 +138,7 @@
         request: ActionRequest,
     ) {
         self.counters.received += 1;
-        let planned = planner::plan(self.in_force.as_ref(), &request);
+        let planned = planner::plan(self.active.as_ref(), &request);
         let mut waiter = Waiter {
             caller,
             request: request_id,
--- a/crates/thornbridge-core/src/action/planner.rs
+++ b/crates/thornbridge-core/src/action/planner.rs
@@ -1,6 +1,6 @@
 //! Planning of an action: validates the request and selects the shard.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::planning::{PlanRefusal, check_timeout, find_service, refuse};
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// A validated action with its shard and replicas.
 #[derive(Debug)]
 pub(super) struct ActionPlan {
-    pub(super) in_force: Arc<InForce>,
+    pub(super) configuration: Arc<ActiveConfiguration>,
     pub(super) service: ServiceName,
     pub(super) shard: ShardId,
     pub(super) replicas: Vec<BackEndId>,
@@ -28,10 +28,10 @@
 
 /// Plans an action under the active configuration.
 pub(super) fn plan(
-    in_force: Option<&Arc<InForce>>,
+    active: Option<&Arc<ActiveConfiguration>>,
     request: &ActionRequest,
 ) -> Result<ActionPlan, PlanRefusal> {
-    let (in_force, service) = find_service(in_force, &request.service, ServiceKind::Action)?;
+    let (active, service) = find_service(active, &request.service, ServiceKind::Action)?;
     check_limits(request)?;
     let layout = service
         .snapshots
@@ -46,7 +46,7 @@
     let key = digest_of_key(&request.service, &request.key);
     let shard = shard_of(&key, layout.shards.len());
     Ok(ActionPlan {
-        in_force: Arc::clone(in_force),
+        configuration: Arc::clone(active),
         service: service.name.clone(),
         shard,
         replicas: layout.shards[shard.0 as usize].clone(),
--- a/crates/thornbridge-core/src/action/running.rs
+++ b/crates/thornbridge-core/src/action/running.rs
@@ -120,7 +120,7 @@
         let tried = std::mem::take(tried);
         match classify(finished) {
             AttemptResult::Done(outcome) => {
-                let configuration = action.plan.in_force.reference.clone();
+                let configuration = action.plan.configuration.reference.clone();
                 let end = ActionEnd::Done {
                     outcome,
                     configuration,
--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -1,7 +1,7 @@
 //! A model of everything around the engines: network, store, back ends, callers.
 
 use crate::action::{ActionEngine, ActionParameters};
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::limits::{LimitParameters, Limits, Release};
 use crate::membership::MemberView;
 use crate::node::tests::world::Shape;
@@ -104,7 +104,7 @@
     pub executions: BTreeMap<String, u32>,
     executed_requests: BTreeMap<RequestId, u32>,
     stored: Option<StoredObject>,
-    in_force: Arc<InForce>,
+    active: Arc<ActiveConfiguration>,
     last_caller: u64,
     last_node: u64,
     parameters: ActionParameters,
@@ -112,11 +112,11 @@
 
 pub const SERVICE: &str = "search";
 
-fn in_force() -> Arc<InForce> {
+fn active_configuration() -> Arc<ActiveConfiguration> {
     let mut shape = Shape::new(CompletenessPolicy::CoverageFirst);
     shape.shards = 2;
     shape.replicas = 2;
-    shape.in_force_with(|bundle| bundle.services[0].kind = ServiceKind::Action)
+    shape.active_configuration_with(|bundle| bundle.services[0].kind = ServiceKind::Action)
 }
 
 impl Cluster {
@@ -140,7 +140,7 @@
             executions: BTreeMap::new(),
             executed_requests: BTreeMap::new(),
             stored: None,
-            in_force: in_force(),
+            active: active_configuration(),
             last_caller: 0,
             last_node: 0,
             parameters,
@@ -179,12 +179,12 @@
     }
 
     fn install(&mut self, index: usize) {
-        let in_force = Arc::clone(&self.in_force);
+        let active = Arc::clone(&self.active);
         self.with(index, |engine, context, resources| {
-            resources.router.install(context, &in_force);
-            let release = resources.limits.install(context, &in_force);
+            resources.router.install(context, &active);
+            let release = resources.limits.install(context, &active);
             resources.released.extend(release);
-            engine.install(&in_force);
+            engine.install(&active);
         });
     }
 
--- a/crates/thornbridge-core/src/configuration/in_force.rs
+++ b/crates/thornbridge-core/src/configuration/active.rs
@@ -12,7 +12,7 @@
 
 /// A bundle is not the one of its record.
 #[derive(Debug, Snafu)]
-pub enum InForceError {
+pub enum ActiveConfigurationError {
     /// The content has another digest.
     #[snafu(display("the bundle has digest {found}, version {version} has {stated}"))]
     Digest {
@@ -43,7 +43,7 @@
 
 /// One generation: its record, its bundle, and tables to look things up.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveConfiguration {
     /// What makes it the approved one.
     pub record: GenerationRecord,
     /// The short form that answers carry.
@@ -58,10 +58,10 @@
     back_ends: HashMap<BackEndId, BackEnd>,
 }
 
-impl InForce {
+impl ActiveConfiguration {
     /// Checks that the bundle is the one of the record. The record's signature is checked by the
     /// caller.
-    pub fn new(record: GenerationRecord, bundle: Bundle) -> Result<Self, InForceError> {
+    pub fn new(record: GenerationRecord, bundle: Bundle) -> Result<Self, ActiveConfigurationError> {
         let version = record.version.clone();
         let sections = SectionSet::of(&bundle).context(ContentSnafu { version })?;
         Self::from_sections(record, sections)
@@ -72,7 +72,7 @@
     pub fn from_sections(
         record: GenerationRecord,
         sections: SectionSet,
-    ) -> Result<Self, InForceError> {
+    ) -> Result<Self, ActiveConfigurationError> {
         let version = record.version.clone();
         let (found, stated) = (sections.digest(), record.digest);
         let digest_error = DigestSnafu {
--- a/crates/thornbridge-core/src/configuration/mod.rs
+++ b/crates/thornbridge-core/src/configuration/mod.rs
@@ -4,14 +4,14 @@
 //! peers. Whatever the way, a generation is accepted only when it is newer than the one in force,
 //! its approval is signed by a trusted key, and its content has the approved digest.
 
+mod active;
 mod gossip;
-mod in_force;
 mod parameters;
 mod peers;
 mod platform_reader;
 mod register;
 
-pub use in_force::{InForce, InForceError};
+pub use active::{ActiveConfiguration, ActiveConfigurationError};
 pub use parameters::{ConfigurationCounters, ConfigurationParameters};
 
 use crate::context::Context;
@@ -57,8 +57,8 @@
     }
 
     /// The configuration in force here.
-    pub fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.register.in_force()
+    pub fn active(&self) -> Option<&Arc<ActiveConfiguration>> {
+        self.register.active()
     }
 
     /// Counters.
@@ -78,7 +78,7 @@
 
     /// Why there is no configuration yet, in words; absent when there is one.
     pub fn obstacle(&self) -> Option<String> {
-        if self.in_force().is_some() {
+        if self.active().is_some() {
             return None;
         }
         if let Some(refusal) = &self.last_refusal {
@@ -324,21 +324,25 @@
         self.conclude(context, result);
     }
 
-    fn conclude(&mut self, context: &mut Context<'_>, result: Result<Arc<InForce>, Refusal>) {
+    fn conclude(
+        &mut self,
+        context: &mut Context<'_>,
+        result: Result<Arc<ActiveConfiguration>, Refusal>,
+    ) {
         match result {
-            Ok(in_force) => self.install(context, in_force),
+            Ok(active) => self.install(context, active),
             Err(refusal) => self.refuse(context, &refusal),
         }
     }
 
-    fn install(&mut self, context: &mut Context<'_>, in_force: Arc<InForce>) {
+    fn install(&mut self, context: &mut Context<'_>, active: Arc<ActiveConfiguration>) {
         self.counters.accepted += 1;
-        let generation = in_force.record.generation;
+        let generation = active.record.generation;
         context.act(Action::StateChanged(StateChange::ConfigurationInForce {
             generation,
-            version: in_force.record.version.clone(),
+            version: active.record.version.clone(),
         }));
-        context.signal(Signal::ConfigurationInForce(in_force));
+        context.signal(Signal::ConfigurationInForce(active));
         self.gossip.accepted(context.now, generation);
     }
 
--- a/crates/thornbridge-core/src/configuration/register.rs
+++ b/crates/thornbridge-core/src/configuration/register.rs
@@ -1,6 +1,6 @@
 //! The generation register: what is accepted, and what peers are answered.
 
-use super::in_force::{InForce, InForceError, summary_of};
+use super::active::{ActiveConfiguration, ActiveConfigurationError, summary_of};
 use super::parameters::ConfigurationCounters;
 use snafu::{ResultExt, Snafu};
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
     #[snafu(display("generation {generation}: {source}"))]
     Content {
         generation: Generation,
-        source: InForceError,
+        source: ActiveConfigurationError,
     },
     #[snafu(display("the delta to generation {generation} applies to another bundle"))]
     OtherBase { generation: Generation },
@@ -39,7 +39,7 @@
 pub(super) struct Register {
     trusted_keys: Vec<TrustedKey>,
     kept_generations: usize,
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
     earlier: VecDeque<(Digest, SectionIndex)>,
     verified: Option<GenerationRecord>,
     conflict_reported: Option<Generation>,
@@ -50,29 +50,29 @@
         Self {
             trusted_keys,
             kept_generations,
-            in_force: None,
+            active: None,
             earlier: VecDeque::new(),
             verified: None,
             conflict_reported: None,
         }
     }
 
-    pub(super) fn in_force(&self) -> Option<&Arc<InForce>> {
-        self.in_force.as_ref()
+    pub(super) fn active(&self) -> Option<&Arc<ActiveConfiguration>> {
+        self.active.as_ref()
     }
 
     pub(super) fn generation(&self) -> Option<Generation> {
-        let in_force = self.in_force.as_ref();
-        in_force.map(|in_force| in_force.record.generation)
+        let active = self.active.as_ref();
+        active.map(|active| active.record.generation)
     }
 
     pub(super) fn summary(&self) -> Option<GenerationSummary> {
-        self.in_force.as_ref().map(|in_force| in_force.summary)
+        self.active.as_ref().map(|active| active.summary)
     }
 
     pub(super) fn digest(&self) -> Option<Digest> {
-        let in_force = self.in_force.as_ref();
-        in_force.map(|in_force| in_force.record.digest)
+        let active = self.active.as_ref();
+        active.map(|active| active.record.digest)
     }
 
     /// Whether a record is worth having: newer than what is in force, and validly signed.
@@ -123,10 +123,11 @@
         &mut self,
         record: GenerationRecord,
         bundle: Bundle,
-    ) -> Result<Arc<InForce>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
         let generation = record.generation;
-        let in_force = InForce::new(record, bundle).context(ContentSnafu { generation })?;
-        Ok(self.install(in_force))
+        let active =
+            ActiveConfiguration::new(record, bundle).context(ContentSnafu { generation })?;
+        Ok(self.install(active))
     }
 
     /// Takes a bundle as a peer passed it on. The record must have been checked.
@@ -134,11 +135,11 @@
         &mut self,
         record: GenerationRecord,
         sections: SectionSet,
-    ) -> Result<Arc<InForce>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
         let generation = record.generation;
-        let in_force =
-            InForce::from_sections(record, sections).context(ContentSnafu { generation })?;
-        Ok(self.install(in_force))
+        let active = ActiveConfiguration::from_sections(record, sections)
+            .context(ContentSnafu { generation })?;
+        Ok(self.install(active))
     }
 
     /// Takes a difference to the bundle in force. The record must have been checked.
@@ -147,9 +148,9 @@
         record: GenerationRecord,
         base: Digest,
         delta: SectionDelta,
-    ) -> Result<Arc<InForce>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
         let generation = record.generation;
-        let known = self.in_force.as_ref();
+        let known = self.active.as_ref();
         let Some(known) = known.filter(|known| known.record.digest == base) else {
             return OtherBaseSnafu { generation }.fail();
         };
@@ -157,30 +158,30 @@
         self.accept_sections(record, sections)
     }
 
-    fn install(&mut self, in_force: InForce) -> Arc<InForce> {
-        let in_force = Arc::new(in_force);
-        if let Some(replaced) = self.in_force.replace(Arc::clone(&in_force)) {
+    fn install(&mut self, active: ActiveConfiguration) -> Arc<ActiveConfiguration> {
+        let active = Arc::new(active);
+        if let Some(replaced) = self.active.replace(Arc::clone(&active)) {
             let index = replaced.sections.index();
             self.earlier.push_front((replaced.record.digest, index));
             self.earlier.truncate(self.kept_generations);
         }
-        in_force
+        active
     }
 
     /// The difference from a peer's bundle to the one in force, where the peer's is known here.
     pub(super) fn delta_from(&self, base: Digest) -> Option<ConfigurationMessage> {
-        let in_force = self.in_force.as_ref()?;
-        let delta = if in_force.record.digest == base {
+        let active = self.active.as_ref()?;
+        let delta = if active.record.digest == base {
             SectionDelta {
                 changed: Vec::new(),
                 removed: Vec::new(),
             }
         } else {
             let known = self.earlier.iter().find(|(digest, _)| *digest == base);
-            in_force.sections.delta_from(&known?.1)
+            active.sections.delta_from(&known?.1)
         };
         Some(ConfigurationMessage::Delta {
-            record: in_force.record.clone(),
+            record: active.record.clone(),
             base,
             changed: delta.changed,
             removed: delta.removed,
@@ -189,10 +190,10 @@
 
     /// The whole bundle in force.
     pub(super) fn whole(&self) -> Option<ConfigurationMessage> {
-        let in_force = self.in_force.as_ref()?;
+        let active = self.active.as_ref()?;
         Some(ConfigurationMessage::Whole {
-            record: in_force.record.clone(),
-            sections: in_force.sections.to_wire(),
+            record: active.record.clone(),
+            sections: active.sections.to_wire(),
         })
     }
 }
--- a/crates/thornbridge-core/src/health/mod.rs
+++ b/crates/thornbridge-core/src/health/mod.rs
@@ -18,7 +18,7 @@
 
 pub use parameters::{HealthCounters, HealthParameters};
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::gossip::{SendBudget, SyncSchedule, TransmissionQueue};
 use crate::membership::MemberView;
@@ -105,9 +105,9 @@
     }
 
     /// Installs a configuration. Facts about removed back ends are dropped.
-    pub fn install(&mut self, context: &mut Context<'_>, in_force: &InForce) {
+    pub fn install(&mut self, context: &mut Context<'_>, active: &ActiveConfiguration) {
         let mut previous = std::mem::take(&mut self.back_ends);
-        for back_end in in_force.bundle.back_ends() {
+        for back_end in active.bundle.back_ends() {
             let key = facts::key_of(&back_end.id);
             let existing = previous.remove(&key);
             let mut monitored =
--- a/crates/thornbridge-core/src/limits/mod.rs
+++ b/crates/thornbridge-core/src/limits/mod.rs
@@ -14,7 +14,7 @@
 pub use queue::QueueOrder;
 pub use service::ServiceLimitStatus;
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::time::Timestamp;
 use queue::QueuedRequest;
@@ -186,18 +186,18 @@
 
     /// Installs a configuration. Services keep their limits and queues; queued requests of a
     /// removed service are refused.
-    pub fn install(&mut self, context: &mut Context<'_>, in_force: &InForce) -> Release {
+    pub fn install(&mut self, context: &mut Context<'_>, active: &ActiveConfiguration) -> Release {
         let mut release = Release::default();
         let removed: Vec<ServiceName> = self
             .services
             .keys()
-            .filter(|name| in_force.service(name).is_none())
+            .filter(|name| active.service(name).is_none())
             .cloned()
             .collect();
         for name in removed {
             self.retire(&name, &mut release);
         }
-        for service in &in_force.bundle.services {
+        for service in &active.bundle.services {
             match self.services.get_mut(&service.name) {
                 Some(admission) => admission.reconfigure(service),
                 None => {
--- a/crates/thornbridge-core/src/limits/tests/admission.rs
+++ b/crates/thornbridge-core/src/limits/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Random admission requests, checked against a model that tracks each request.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::limits::*;
 use crate::{Action, Context, Signal, Timestamp};
 use proptest::prelude::*;
@@ -48,7 +48,7 @@
     }
 }
 
-pub fn in_force(bundle: Bundle) -> InForce {
+pub fn active_configuration(bundle: Bundle) -> ActiveConfiguration {
     let record = GenerationRecord {
         generation: Generation(1),
         version: bundle.version.clone(),
@@ -57,7 +57,7 @@
         key_id: String::new(),
         signature: Vec::new(),
     };
-    InForce::new(record, bundle).unwrap()
+    ActiveConfiguration::new(record, bundle).unwrap()
 }
 
 /// Clock, random numbers and queues behind a [`Context`].
@@ -156,7 +156,7 @@
         };
         let mut clock = Clock::new();
         let mut limits = Limits::new(parameters);
-        limits.install(&mut clock.context(), &in_force(bundle(4, 10)));
+        limits.install(&mut clock.context(), &active_configuration(bundle(4, 10)));
         Self {
             limits,
             clock,
@@ -198,8 +198,8 @@
             Step::Advance { duration_us } => self.advance(Duration::from_micros(duration_us)),
             Step::Reconfigure { in_flight, queued } => {
                 self.maximum_in_flight = in_flight as usize;
-                let in_force = in_force(bundle(in_flight, queued));
-                let release = self.limits.install(&mut self.clock.context(), &in_force);
+                let active = active_configuration(bundle(in_flight, queued));
+                let release = self.limits.install(&mut self.clock.context(), &active);
                 self.released(release);
             }
         }
--- a/crates/thornbridge-core/src/limits/tests/overload.rs
+++ b/crates/thornbridge-core/src/limits/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Admission in front of a server of known capacity: goodput under overload, recovery, and
 //! accuracy of refusals.
 
-use super::admission::{Clock, SERVICES, bundle, in_force, request};
+use super::admission::{Clock, SERVICES, active_configuration, bundle, request};
 use crate::limits::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -30,7 +30,10 @@
         let node = |_| {
             let mut clock = Clock::new();
             let mut limits = Limits::new(LimitParameters::default());
-            limits.install(&mut clock.context(), &in_force(bundle(1_000, 1_000)));
+            limits.install(
+                &mut clock.context(),
+                &active_configuration(bundle(1_000, 1_000)),
+            );
             (limits, clock)
         };
         Self {
@@ -222,7 +225,10 @@
 fn refused_request_is_admitted_after_retry_delay() {
     let mut clock = Clock::new();
     let mut limits = Limits::new(LimitParameters::default());
-    limits.install(&mut clock.context(), &in_force(bundle(2, 1_000)));
+    limits.install(
+        &mut clock.context(),
+        &active_configuration(bundle(2, 1_000)),
+    );
     let name: ServiceName = SERVICES[0].into();
     let admission_request = |sequence, now: Timestamp| AdmissionRequest {
         service: &name,
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -343,12 +343,12 @@
     fn pass_on(&mut self, now: Timestamp, signal: Signal) {
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         match signal {
-            Signal::ConfigurationInForce(in_force) => {
-                self.router.install(&mut context, &in_force);
-                self.queries.install(&in_force);
-                self.control.health.install(&mut context, &in_force);
-                self.action_engine.install(&in_force);
-                let release = self.limits.install(&mut context, &in_force);
+            Signal::ConfigurationInForce(active) => {
+                self.router.install(&mut context, &active);
+                self.queries.install(&active);
+                self.control.health.install(&mut context, &active);
+                self.action_engine.install(&active);
+                let release = self.limits.install(&mut context, &active);
                 self.released.extend(release);
             }
             Signal::MembersChanged(view) => {
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -21,12 +21,12 @@
 
     /// What the node knows, for operators, as of the last event.
     pub fn status(&self) -> StatusReport {
-        let in_force = self.control.configuration.in_force();
+        let active = self.control.configuration.active();
         StatusReport {
             node: self.setup.endpoint.node,
             name: self.setup.name.clone(),
             readiness: self.readiness(),
-            configuration: in_force.map(|in_force| in_force.reference.clone()),
+            configuration: active.map(|active| active.reference.clone()),
             members: self.control.membership.view().members().to_vec(),
             configuration_obstacle: self.control.configuration.obstacle(),
             leases: self.control.readers.statuses(self.now),
@@ -38,10 +38,10 @@
     }
 
     fn service_status(&self) -> Vec<ServiceStatus> {
-        let Some(in_force) = self.control.configuration.in_force() else {
+        let Some(active) = self.control.configuration.active() else {
             return Vec::new();
         };
-        let services = in_force.bundle.services.iter();
+        let services = active.bundle.services.iter();
         services
             .filter_map(|service| {
                 let limits = self.limits.status(&service.name)?;
@@ -59,7 +59,7 @@
     pub(super) fn readiness(&self) -> NodeReadiness {
         if self.lifecycle != Lifecycle::Running {
             NodeReadiness::Leaving
-        } else if self.control.configuration.in_force().is_none() {
+        } else if self.control.configuration.active().is_none() {
             NodeReadiness::NoConfiguration
         } else if !self.control.health.is_bootstrapped() {
             NodeReadiness::LearningHealth
--- a/crates/thornbridge-core/src/node/tests/world.rs
+++ b/crates/thornbridge-core/src/node/tests/world.rs
@@ -1,6 +1,6 @@
 //! A node with a model of its back ends and callers, and an oracle over its answers.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::node::Node;
 use crate::{
     Action, AttemptFailure, CallerId, ConnectionId, Event, NodeSetup, Parameters, Signal, Timestamp,
@@ -108,11 +108,14 @@
         }
     }
 
-    pub fn in_force(&self) -> Arc<InForce> {
-        self.in_force_with(|_| {})
+    pub fn active_configuration(&self) -> Arc<ActiveConfiguration> {
+        self.active_configuration_with(|_| {})
     }
 
-    pub fn in_force_with(&self, change: impl FnOnce(&mut Bundle)) -> Arc<InForce> {
+    pub fn active_configuration_with(
+        &self,
+        change: impl FnOnce(&mut Bundle),
+    ) -> Arc<ActiveConfiguration> {
         let mut bundle = self.bundle();
         change(&mut bundle);
         let record = GenerationRecord {
@@ -123,7 +126,7 @@
             key_id: "key".to_owned(),
             signature: Vec::new(),
         };
-        Arc::new(InForce::new(record, bundle).unwrap())
+        Arc::new(ActiveConfiguration::new(record, bundle).unwrap())
     }
 }
 
@@ -238,7 +241,7 @@
     }
 
     pub fn install(&mut self, shape: &Shape) {
-        let signal = Signal::ConfigurationInForce(shape.in_force());
+        let signal = Signal::ConfigurationInForce(shape.active_configuration());
         self.node.pass_on(self.now, signal);
         self.node.settle(self.now);
         self.drain();
--- a/crates/thornbridge-core/src/operator/rollback.rs
+++ b/crates/thornbridge-core/src/operator/rollback.rs
@@ -14,7 +14,7 @@
 enum Stage {
     ReadingRegister,
     Walking {
-        in_force: BundleVersion,
+        active: BundleVersion,
         expected: Generation,
         at: Generation,
     },
@@ -62,7 +62,7 @@
     fn walk_to_before(
         &mut self,
         at: Generation,
-        in_force: BundleVersion,
+        active: BundleVersion,
         expected: Generation,
     ) -> Next {
         if at.0 <= 1 {
@@ -70,7 +70,7 @@
         }
         let at = Generation(at.0 - 1);
         self.stage = Stage::Walking {
-            in_force,
+            active,
             expected,
             at,
         };
@@ -81,21 +81,21 @@
         &mut self,
         object: Option<StoredObject>,
         at: Generation,
-        in_force: BundleVersion,
+        active: BundleVersion,
         expected: Generation,
     ) -> Next {
         let entry = match object.as_ref().map(exchange::decode::<RolloutHistory>) {
             Some(Err(error)) => return Next::done(Err(error)),
             Some(Ok(entry)) => entry,
-            None => return self.walk_to_before(at, in_force, expected),
+            None => return self.walk_to_before(at, active, expected),
         };
         let found = entry.record.version;
         let wanted = match &self.version {
             Some(version) => found == *version,
-            None => found != in_force,
+            None => found != active,
         };
         if !wanted {
-            return self.walk_to_before(at, in_force, expected);
+            return self.walk_to_before(at, active, expected);
         }
         self.roll_out(found, expected)
     }
@@ -132,10 +132,10 @@
         };
         match std::mem::replace(&mut self.stage, Stage::ReadingRegister) {
             Stage::Walking {
-                in_force,
+                active,
                 expected,
                 at,
-            } => self.entry_read(object, at, in_force, expected),
+            } => self.entry_read(object, at, active, expected),
             _ => self.register_read(object),
         }
     }
--- a/crates/thornbridge-core/src/planning.rs
+++ b/crates/thornbridge-core/src/planning.rs
@@ -1,6 +1,6 @@
 //! What planning a query and planning an action have in common.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use std::sync::Arc;
 use std::time::Duration;
 use thornbridge_config::bundle::{Service, ServiceKind};
@@ -27,15 +27,15 @@
 
 /// The service that is asked, if it takes this kind of request.
 pub(crate) fn find_service<'a>(
-    in_force: Option<&'a Arc<InForce>>,
+    active: Option<&'a Arc<ActiveConfiguration>>,
     name: &ServiceName,
     kind: ServiceKind,
-) -> Result<(&'a Arc<InForce>, &'a Service), PlanRefusal> {
-    let Some(in_force) = in_force else {
+) -> Result<(&'a Arc<ActiveConfiguration>, &'a Service), PlanRefusal> {
+    let Some(active) = active else {
         let detail = "this node has no configuration yet";
         return refuse(RefusalReason::NotReady, detail);
     };
-    let Some(service) = in_force.service(name) else {
+    let Some(service) = active.service(name) else {
         let detail = format!("the configuration has no service {name:?}");
         return refuse(RefusalReason::UnknownService, detail);
     };
@@ -47,7 +47,7 @@
         let detail = format!("service {name:?} takes {taken}");
         return refuse(RefusalReason::WrongKind, detail);
     }
-    Ok((in_force, service))
+    Ok((active, service))
 }
 
 /// Checks the time that a caller allows.
--- a/crates/thornbridge-core/src/query/answering.rs
+++ b/crates/thornbridge-core/src/query/answering.rs
@@ -90,7 +90,7 @@
         let answer = QueryAnswer {
             request_id: id,
             snapshot: plan.service.snapshot.clone(),
-            configuration: plan.service.in_force.reference.clone(),
+            configuration: plan.service.configuration.reference.clone(),
             coverage,
             hits: gather.into_hits(),
         };
--- a/crates/thornbridge-core/src/query/mod.rs
+++ b/crates/thornbridge-core/src/query/mod.rs
@@ -21,7 +21,7 @@
 pub use counters::QueryCounters;
 pub use parameters::{HedgePolicy, QueryParameters, RetryPolicy, WaitPolicy};
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::driver_action::CallerId;
 use crate::limits::{Admission, AdmissionRefusal, AdmissionRequest};
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub struct QueryEngine {
     node: NodeId,
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
     catalogue: SnapshotCatalogue,
     queries: BTreeMap<u64, Query>,
     callers: BTreeMap<CallerId, u64>,
@@ -73,7 +73,7 @@
     pub fn new(parameters: QueryParameters, node: NodeId) -> Self {
         Self {
             node,
-            in_force: None,
+            active: None,
             catalogue: SnapshotCatalogue::new(parameters.not_held_memory),
             queries: BTreeMap::new(),
             callers: BTreeMap::new(),
@@ -94,10 +94,10 @@
     }
 
     /// Applies a new configuration; queries in flight keep the one they were planned under.
-    pub fn install(&mut self, in_force: &Arc<InForce>) {
-        self.in_force = Some(Arc::clone(in_force));
-        self.catalogue.install(in_force);
-        self.shared.install(in_force);
+    pub fn install(&mut self, active: &Arc<ActiveConfiguration>) {
+        self.active = Some(Arc::clone(active));
+        self.catalogue.install(active);
+        self.shared.install(active);
     }
 
     /// Applies the snapshot list of a back end's load report.
@@ -112,7 +112,7 @@
 
     /// Snapshot that a query of the service planned now would use.
     pub fn snapshot_of(&self, now: Timestamp, service: &ServiceName) -> Option<SnapshotId> {
-        let service = self.in_force.as_ref()?.service(service)?;
+        let service = self.active.as_ref()?.service(service)?;
         self.catalogue
             .choose(now, service)
             .map(|(snapshot, _)| snapshot.id.clone())
@@ -145,7 +145,7 @@
         let planned = planner::plan(
             context.now,
             &self.shared.parameters,
-            self.in_force.as_ref(),
+            self.active.as_ref(),
             &mut self.catalogue,
             request,
         );
--- a/crates/thornbridge-core/src/query/planner.rs
+++ b/crates/thornbridge-core/src/query/planner.rs
@@ -2,7 +2,7 @@
 
 use super::completeness::CompletionRules;
 use super::parameters::QueryParameters;
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::planning::{PlanRefusal, check_timeout, find_service, refuse};
 use crate::snapshot::{ServicePlan, SnapshotCatalogue};
 use crate::time::Timestamp;
@@ -31,13 +31,13 @@
 pub(super) fn plan(
     now: Timestamp,
     parameters: &QueryParameters,
-    in_force: Option<&Arc<InForce>>,
+    active: Option<&Arc<ActiveConfiguration>>,
     catalogue: &mut SnapshotCatalogue,
     request: QueryRequest,
 ) -> Result<QueryPlan, PlanRefusal> {
-    let (in_force, service) = find_service(in_force, &request.service, ServiceKind::Query)?;
+    let (active, service) = find_service(active, &request.service, ServiceKind::Query)?;
     check_limits(&request)?;
-    let Some(service_plan) = catalogue.plan(now, in_force, service) else {
+    let Some(service_plan) = catalogue.plan(now, active, service) else {
         let detail = format!(
             "service {:?} has no snapshot with a matching layout",
             service.name
--- a/crates/thornbridge-core/src/query/shared_state.rs
+++ b/crates/thornbridge-core/src/query/shared_state.rs
@@ -7,7 +7,7 @@
 use super::planner::QueryPlan;
 use super::scatter::Scatter;
 use super::shard_latency::ShardLatencies;
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::resources::Resources;
 use crate::routing::Router;
@@ -36,9 +36,9 @@
     }
 
     /// Drops the latencies of services that are not in the new configuration.
-    pub(super) fn install(&mut self, in_force: &InForce) {
+    pub(super) fn install(&mut self, active: &ActiveConfiguration) {
         self.latencies
-            .retain(|service, _| in_force.service(service).is_some());
+            .retain(|service, _| active.service(service).is_some());
     }
 
     /// Observed latencies of a plan's service.
--- a/crates/thornbridge-core/src/routing/mod.rs
+++ b/crates/thornbridge-core/src/routing/mod.rs
@@ -40,7 +40,7 @@
 pub use slow_start::SlowStartParameters;
 pub use subset::SubsetParameters;
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::event::AttemptFailure;
 use crate::time::Timestamp;
 use attempts::Attempts;
@@ -87,7 +87,7 @@
 #[derive(Debug)]
 pub struct Router {
     parameters: RoutingParameters,
-    in_force: Option<Arc<InForce>>,
+    active: Option<Arc<ActiveConfiguration>>,
     membership: Membership,
     back_ends: BackEndTable,
     connections: Connections,
@@ -110,7 +110,7 @@
     pub fn new(parameters: RoutingParameters) -> Self {
         Self {
             parameters,
-            in_force: None,
+            active: None,
             membership: Membership::default(),
             back_ends: BackEndTable::default(),
             connections: Connections::default(),
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -4,7 +4,7 @@
 use super::back_end_limit::BackEndLimit;
 use super::subset::{SubsetBuild, SubsetNode, Topology};
 use super::{Router, RoutingParameters};
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::membership::MemberView;
 use crate::time::Timestamp;
@@ -122,17 +122,17 @@
 impl Router {
     /// Installs a configuration. Known back ends keep their state, removed ones are drained, and
     /// those with a new address are reset.
-    pub fn install(&mut self, context: &mut Context<'_>, in_force: &Arc<InForce>) {
-        let first = self.in_force.replace(Arc::clone(in_force)).is_none();
-        for (service, configured) in in_force.bundle.services.iter().enumerate() {
+    pub fn install(&mut self, context: &mut Context<'_>, active: &Arc<ActiveConfiguration>) {
+        let first = self.active.replace(Arc::clone(active)).is_none();
+        for (service, configured) in active.bundle.services.iter().enumerate() {
             for back_end in &configured.back_ends {
                 let service = ServiceIndex(service as u32);
                 self.install_back_end(context, back_end, service, first);
             }
         }
-        self.remove_unconfigured(context, in_force);
-        self.back_ends.set_services(&in_force.bundle);
-        let (topology, indices) = self.back_ends.topology(&in_force.bundle);
+        self.remove_unconfigured(context, active);
+        self.back_ends.set_services(&active.bundle);
+        let (topology, indices) = self.back_ends.topology(&active.bundle);
         let same = topology == self.subset_state.topology && indices == self.subset_state.indices;
         self.subset_state.topology = topology;
         self.subset_state.indices = indices;
@@ -149,7 +149,7 @@
     pub fn members_changed(&mut self, context: &mut Context<'_>, view: &Arc<MemberView>) {
         let first = self.membership.own.is_none();
         let changed = self.membership.update(&self.parameters, context.now, view);
-        if self.in_force.is_none() {
+        if self.active.is_none() {
             return;
         }
         if first {
@@ -204,9 +204,9 @@
 
     fn begin_subset(&mut self, now: Timestamp) -> SubsetBuild {
         let maximum = self
-            .in_force
+            .active
             .as_ref()
-            .map_or(0, |in_force| in_force.bundle.maximum_nodes);
+            .map_or(0, |active| active.bundle.maximum_nodes);
         self.counters.subsets_computed += 1;
         SubsetBuild::new(
             self.parameters.subset.clone(),
@@ -321,12 +321,12 @@
         }
     }
 
-    fn remove_unconfigured(&mut self, context: &mut Context<'_>, in_force: &InForce) {
+    fn remove_unconfigured(&mut self, context: &mut Context<'_>, active: &ActiveConfiguration) {
         for index in self.back_ends.indices() {
             let Some(state) = self.back_ends.get_mut(index) else {
                 continue;
             };
-            if in_force.back_end(&state.id).is_some() {
+            if active.back_end(&state.id).is_some() {
                 continue;
             }
             state.configured = false;
--- a/crates/thornbridge-core/src/routing/tests/fixture.rs
+++ b/crates/thornbridge-core/src/routing/tests/fixture.rs
@@ -1,6 +1,6 @@
 //! Bundles, member lists and settings that the tests of routing share.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::membership::MemberView;
 use proptest::test_runner::{Config, RngSeed};
 use std::sync::Arc;
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn in_force(bundle: Bundle) -> Arc<InForce> {
+pub fn active_configuration(bundle: Bundle) -> Arc<ActiveConfiguration> {
     let record = GenerationRecord {
         generation: Generation(1),
         version: bundle.version.clone(),
@@ -86,7 +86,7 @@
         key_id: "key".to_owned(),
         signature: Vec::new(),
     };
-    Arc::new(InForce::new(record, bundle).unwrap())
+    Arc::new(ActiveConfiguration::new(record, bundle).unwrap())
 }
 
 pub fn member(node: u64, zone: usize) -> MemberRecord {
--- a/crates/thornbridge-core/src/routing/tests/harness.rs
+++ b/crates/thornbridge-core/src/routing/tests/harness.rs
@@ -1,6 +1,6 @@
 //! A driver of one router that checks, with each action, what must always hold.
 
-use super::fixture::{SHARE, in_force, view};
+use super::fixture::{SHARE, active_configuration, view};
 use crate::routing::{AttemptOwner, FinishedAttempt, Router, RoutingParameters};
 use crate::{Action, AttemptFailure, ConnectionId, Context, Signal, Timestamp};
 use rand::SeedableRng;
@@ -53,8 +53,8 @@
     }
 
     pub fn install(&mut self, bundle: Bundle) {
-        let in_force = in_force(bundle);
-        self.call(|router, context| router.install(context, &in_force));
+        let active = active_configuration(bundle);
+        self.call(|router, context| router.install(context, &active));
     }
 
     /// Calls the router, then carries out and checks every action.
--- a/crates/thornbridge-core/src/signal.rs
+++ b/crates/thornbridge-core/src/signal.rs
@@ -1,6 +1,6 @@
 //! What the parts of a node tell each other. [`crate::Node`] hands each signal on.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::membership::MemberView;
 use std::sync::Arc;
 use thornbridge_proto::peer::health::HealthRecord;
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub enum Signal {
     /// From control: this configuration is in force from now on.
-    ConfigurationInForce(Arc<InForce>),
+    ConfigurationInForce(Arc<ActiveConfiguration>),
     /// From control: the members changed.
     MembersChanged(Arc<MemberView>),
     /// From health sharing: news of a back end, seen here or by a peer.
--- a/crates/thornbridge-core/src/snapshot/mod.rs
+++ b/crates/thornbridge-core/src/snapshot/mod.rs
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct ServicePlan {
     /// Configuration it was made under.
-    pub in_force: Arc<InForce>,
+    pub configuration: Arc<ActiveConfiguration>,
     /// The service.
     pub service: ServiceName,
     /// The snapshot that every hit comes from.
@@ -77,10 +77,10 @@
     }
 
     /// Forgets back ends that a new configuration does not have.
-    pub fn install(&mut self, in_force: &InForce) {
+    pub fn install(&mut self, active: &ActiveConfiguration) {
         self.plans.clear();
         self.holdings
-            .retain(|back_end, _| in_force.back_end(back_end).is_some());
+            .retain(|back_end, _| active.back_end(back_end).is_some());
     }
 
     /// Takes a back end's own report.
@@ -123,18 +123,18 @@
     pub fn plan(
         &mut self,
         now: Timestamp,
-        in_force: &Arc<InForce>,
+        active: &Arc<ActiveConfiguration>,
         service: &Service,
     ) -> Option<Arc<ServicePlan>> {
         if let Some(cached) = self.plans.get(&service.name)
             && now < cached.valid_until
-            && Arc::ptr_eq(&cached.plan.in_force, in_force)
+            && Arc::ptr_eq(&cached.plan.configuration, active)
         {
             return Some(Arc::clone(&cached.plan));
         }
         let (snapshot, layout) = self.choose(now, service)?;
         let plan = Arc::new(ServicePlan {
-            in_force: Arc::clone(in_force),
+            configuration: Arc::clone(active),
             service: service.name.clone(),
             snapshot: snapshot.id.clone(),
             layout: layout.id.clone(),
--- a/crates/thornbridge-core/src/snapshot/tests.rs
+++ b/crates/thornbridge-core/src/snapshot/tests.rs
@@ -7,7 +7,7 @@
 }
 
 struct Fixture {
-    in_force: Arc<InForce>,
+    active: Arc<ActiveConfiguration>,
     catalogue: SnapshotCatalogue,
 }
 
@@ -18,7 +18,7 @@
         shape.shards = 2;
         shape.snapshots = vec!["new", "old"];
         Self {
-            in_force: shape.in_force(),
+            active: shape.active_configuration(),
             catalogue: SnapshotCatalogue::new(Duration::from_secs(1)),
         }
     }
@@ -32,8 +32,8 @@
     }
 
     fn plan(&mut self, now: Timestamp) -> Arc<ServicePlan> {
-        let service = &self.in_force.bundle.services[0];
-        self.catalogue.plan(now, &self.in_force, service).unwrap()
+        let service = &self.active.bundle.services[0];
+        self.catalogue.plan(now, &self.active, service).unwrap()
     }
 }
 
--- a/crates/thornbridge-core/tests/control/cluster.rs
+++ b/crates/thornbridge-core/tests/control/cluster.rs
@@ -34,7 +34,7 @@
     pub other_bytes: u64,
     /// Generations in the order in which they came into force.
     pub generations: Vec<Generation>,
-    pub in_force_at: Timestamp,
+    pub activated_at: Timestamp,
     random: Pcg64Mcg,
     timer: Timestamp,
     held: Vec<Happening>,
@@ -152,7 +152,7 @@
             configuration_bytes: 0,
             other_bytes: 0,
             generations: Vec::new(),
-            in_force_at: Timestamp::ZERO,
+            activated_at: Timestamp::ZERO,
             random: Pcg64Mcg::seed_from_u64(self.random.random()),
             timer: Timestamp::MAX,
             held: Vec::new(),
@@ -260,8 +260,8 @@
     }
 
     pub fn generation(&self, host: Host) -> Option<Generation> {
-        let in_force = self.processes[host].control.configuration.in_force();
-        in_force.map(|in_force| in_force.record.generation)
+        let active = self.processes[host].control.configuration.active();
+        active.map(|active| active.record.generation)
     }
 
     pub fn all_have(&self, generation: u64) -> bool {
@@ -371,12 +371,12 @@
                         Context::new(self.now, &mut process.random, &mut actions, &mut signals);
                     process.control.members_changed(&mut context, &view);
                 }
-                Signal::ConfigurationInForce(in_force) => {
-                    let generation = in_force.record.generation;
+                Signal::ConfigurationInForce(active) => {
+                    let generation = active.record.generation;
                     let last = process.generations.last();
                     assert!(last.is_none_or(|last| *last < generation), "went back");
                     process.generations.push(generation);
-                    process.in_force_at = self.now;
+                    process.activated_at = self.now;
                 }
                 _ => {}
             }
--- a/crates/thornbridge-core/tests/control/forgeries.rs
+++ b/crates/thornbridge-core/tests/control/forgeries.rs
@@ -72,7 +72,7 @@
     }
 
     fn generation(&self) -> u64 {
-        self.register.in_force().unwrap().record.generation.0
+        self.register.active().unwrap().record.generation.0
     }
 
     fn refused(&self) -> u64 {
@@ -109,7 +109,7 @@
     let approved = sample::bundle("v6", &["search", "cards"]);
     receiver.take(ConfigurationMessage::Delta {
         record: record(6, &approved, &sample::signing_key()),
-        base: receiver.register.in_force().unwrap().record.digest,
+        base: receiver.register.active().unwrap().record.digest,
         changed: Vec::new(),
         removed: Vec::new(),
     });
--- a/crates/thornbridge-core/tests/members/cluster.rs
+++ b/crates/thornbridge-core/tests/members/cluster.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use thornbridge_config::bundle::Bundle;
 use thornbridge_config::canonical;
-use thornbridge_core::configuration::InForce;
+use thornbridge_core::configuration::ActiveConfiguration;
 use thornbridge_core::health::{HealthParameters, HealthSharing};
 use thornbridge_core::membership::{MemberView, Membership, MembershipParameters};
 use thornbridge_core::{Action, Context, Signal, Timestamp};
@@ -97,7 +97,7 @@
     pub network: Network,
     pub processes: Vec<Process>,
     pub back_ends: BTreeMap<BackEndId, BackEndModel>,
-    in_force: Option<InForce>,
+    active: Option<ActiveConfiguration>,
     parameters: MembershipParameters,
     hosts: BTreeMap<SocketAddr, Host>,
     events: BinaryHeap<Reverse<(Timestamp, u64)>>,
@@ -117,7 +117,7 @@
             network,
             processes: Vec::new(),
             back_ends: BTreeMap::new(),
-            in_force: None,
+            active: None,
             parameters: MembershipParameters::default(),
             hosts: BTreeMap::new(),
             events: BinaryHeap::new(),
@@ -200,18 +200,18 @@
             key_id: "key".to_owned(),
             signature: Vec::new(),
         };
-        self.in_force = Some(InForce::new(record, bundle).expect("the record matches"));
+        self.active = Some(ActiveConfiguration::new(record, bundle).expect("the record matches"));
         for host in 0..self.processes.len() {
             self.install_on(host);
         }
     }
 
     fn install_on(&mut self, host: Host) {
-        if let Some(in_force) = self.in_force.take() {
+        if let Some(active) = self.active.take() {
             self.drive(host, |parts, context| {
-                parts.health.install(context, &in_force)
+                parts.health.install(context, &active)
             });
-            self.in_force = Some(in_force);
+            self.active = Some(active);
         }
     }
 
