--- a/crates/thornbridge-node/src/callers/mod.rs
+++ b/crates/thornbridge-node/src/callers/mod.rs
@@ -98,7 +98,7 @@
         };
         match self.ask(request).await {
             Ok(reply) => respond(reply),
-            Err(Unanswered::NeverTaken) => problem::response(&Rejected::stopping(), None),
+            Err(Unanswered::NotAccepted) => problem::response(&Rejected::stopping(), None),
             Err(Unanswered::OutcomeUnknown(unknown)) => without_answer(unknown),
         }
     }
@@ -138,7 +138,7 @@
             answered: false,
         };
         let taken = self.inputs.send(input).await;
-        taken.map_err(|DriverEnded| Unanswered::NeverTaken)?;
+        taken.map_err(|DriverEnded| Unanswered::NotAccepted)?;
         let reply = receiver.await;
         presence.answered = true;
         reply.map_err(|_| Unanswered::OutcomeUnknown(OutcomeUnknown))
--- a/crates/thornbridge-node/src/driver.rs
+++ b/crates/thornbridge-node/src/driver.rs
@@ -124,7 +124,7 @@
             if ticked {
                 self.cut_overdue();
                 self.control.sweep();
-                self.peers.sweep();
+                self.peers.remove_unused();
             }
             self.settle();
         }
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -3,7 +3,7 @@
 use super::activity::{Activity, ObservedStream};
 use super::answer_delay::AnswerDelays;
 use super::driver::{CallerRequest, GatewayInput};
-use super::headers::{WireNames, number_value, strip_hop_by_hop};
+use super::headers::{HeaderNames, number_value, strip_hop_by_hop};
 use crate::sockets;
 use crate::unanswered::{OutcomeUnknown, Unanswered};
 use bytes::Bytes;
@@ -45,7 +45,7 @@
 /// State shared by all caller connections.
 #[derive(Debug)]
 pub(super) struct CallerContext {
-    pub(super) names: Arc<WireNames>,
+    pub(super) names: Arc<HeaderNames>,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
     /// Callers that disconnected before their answer.
     pub(super) disconnected: mpsc::UnboundedSender<CallerId>,
@@ -131,7 +131,7 @@
     let mut response = match submit(context, request, first_on_connection).await {
         Ok(answer) => answer_response(&context.names, answer),
         Err(RequestError::Rejected(rejection)) => rejection.response(),
-        Err(RequestError::Unanswered(Unanswered::NeverTaken)) => {
+        Err(RequestError::Unanswered(Unanswered::NotAccepted)) => {
             RejectedRequest::Stopping.response()
         }
         Err(RequestError::Unanswered(Unanswered::OutcomeUnknown(unknown))) => return Err(unknown),
@@ -215,7 +215,7 @@
         .inputs
         .send(input)
         .await
-        .map_err(|_| Unanswered::NeverTaken)?;
+        .map_err(|_| Unanswered::NotAccepted)?;
     let mut guard = DisconnectGuard {
         caller,
         disconnected: &context.disconnected,
@@ -261,7 +261,7 @@
 }
 
 fn request_head(
-    names: &WireNames,
+    names: &HeaderNames,
     parts: &Parts,
     body: &[u8],
     first_on_connection: bool,
@@ -305,7 +305,7 @@
     name.to_ascii_lowercase()
 }
 
-fn answer_response(names: &WireNames, answer: GatewayAnswer) -> Response<Full<Bytes>> {
+fn answer_response(names: &HeaderNames, answer: GatewayAnswer) -> Response<Full<Bytes>> {
     match answer {
         GatewayAnswer::Forwarded {
             status,
@@ -332,7 +332,7 @@
 }
 
 fn gathered_response(
-    names: &WireNames,
+    names: &HeaderNames,
     signatures: &[Bytes],
     missing: usize,
     records: Bytes,
--- a/crates/thornbridge-node/src/gateway/callers/tests.rs
+++ b/crates/thornbridge-node/src/gateway/callers/tests.rs
@@ -1,7 +1,7 @@
 //! Answers to callers when the driver stops.
 
 use super::super::driver::GatewayInput;
-use super::super::headers::WireNames;
+use super::super::headers::HeaderNames;
 use super::{CallerContext, listen};
 use hyper::header::HeaderName;
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-fn names() -> WireNames {
-    WireNames {
+fn names() -> HeaderNames {
+    HeaderNames {
         request_id: HeaderName::from_static("x-id"),
         caller_timeout: HeaderName::from_static("x-patience"),
         expected_instance: HeaderName::from_static("x-expected"),
--- a/crates/thornbridge-node/src/gateway/connection.rs
+++ b/crates/thornbridge-node/src/gateway/connection.rs
@@ -1,7 +1,7 @@
 //! Connection to a server. Runs one attempt at a time until the connection is lost or closed.
 
 use super::driver::GatewayInput;
-use super::headers::WireNames;
+use super::headers::HeaderNames;
 use super::server_reply;
 use crate::sockets;
 use crate::transport::{Connection, Transport, drive};
@@ -37,7 +37,7 @@
 /// Environment of a connection task.
 #[derive(Clone, Debug)]
 pub(super) struct ConnectionContext {
-    pub(super) names: Arc<WireNames>,
+    pub(super) names: Arc<HeaderNames>,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
 }
 
@@ -125,7 +125,7 @@
 }
 
 async fn exchange(
-    names: &WireNames,
+    names: &HeaderNames,
     sender: &mut SendRequest<Full<Bytes>>,
     job: Job,
 ) -> Result<ServerReply, ExchangeFailure> {
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -2,7 +2,7 @@
 
 use super::answer_delay::{AnswerDelays, DecidedAnswer};
 use super::connection::{self, ConnectionContext, Job};
-use super::headers::{WireNames, number_value};
+use super::headers::{HeaderNames, number_value};
 use super::log_lines;
 use super::metrics::{GatewayMetrics, GaugeValues};
 use super::pending::PendingRequest;
@@ -81,7 +81,7 @@
 pub(super) struct GatewayDriver {
     pub(super) gateway: Gateway,
     pub(super) clock: Clock,
-    pub(super) names: Arc<WireNames>,
+    pub(super) names: Arc<HeaderNames>,
     pub(super) store: StoreClient,
     pub(super) peers: Peers,
     pub(super) inputs: mpsc::Sender<GatewayInput>,
@@ -103,7 +103,7 @@
 impl GatewayDriver {
     pub(super) fn new(
         gateway: Gateway,
-        names: Arc<WireNames>,
+        names: Arc<HeaderNames>,
         store: StoreClient,
         peers: Peers,
         inputs: mpsc::Sender<GatewayInput>,
@@ -149,7 +149,7 @@
                 caller = channels.disconnected.recv() => disconnected = caller,
                 input = channels.peers.inputs.recv() => peer_input = input,
                 () = &mut timer => {}
-                _ = sweep.tick() => self.peers.sweep(),
+                _ = sweep.tick() => self.peers.remove_unused(),
             }
             self.clock.catch_up();
             if let Some(duration) = pauses.wake(self.clock.now()) {
--- a/crates/thornbridge-node/src/gateway/headers.rs
+++ b/crates/thornbridge-node/src/gateway/headers.rs
@@ -7,7 +7,7 @@
 
 /// Names of the headers that the gateway reads and sets.
 #[derive(Clone, Debug)]
-pub struct WireNames {
+pub struct HeaderNames {
     /// Request id set by the caller.
     pub request_id: HeaderName,
     /// Caller timeout, in milliseconds.
--- a/crates/thornbridge-node/src/gateway/mod.rs
+++ b/crates/thornbridge-node/src/gateway/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One driver task owns the core; other tasks handle callers, server connections, the store and
 //! peer links. All tasks run on one thread, since a node has a fraction of a processor.
-//! The platform adapter supplies the header names ([`WireNames`]) and the store's protocol
+//! The platform adapter supplies the header names ([`HeaderNames`]) and the store's protocol
 //! ([`StoreProtocol`]).
 
 mod activity;
@@ -21,7 +21,7 @@
 mod settings;
 mod store;
 
-pub use headers::WireNames;
+pub use headers::HeaderNames;
 pub use process::{GatewayError, GatewayListeners, RunningGateway, run_gateway};
 pub use settings::{GatewaySettings, ReadSettings};
 pub use store::StoreProtocol;
--- a/crates/thornbridge-node/src/gateway/process.rs
+++ b/crates/thornbridge-node/src/gateway/process.rs
@@ -3,7 +3,7 @@
 use super::answer_delay::AnswerDelays;
 use super::callers::{self, CallerContext};
 use super::driver::{DriverInputs, DriverOutputs, GatewayDriver, GatewayInput};
-use super::headers::WireNames;
+use super::headers::HeaderNames;
 use super::metrics::{GatewayMetrics, GaugeValues};
 use super::pages::{self, Page};
 use super::settings::{GatewaySettings, ReadSettings};
@@ -71,7 +71,7 @@
 /// Reloads the settings on SIGHUP and when their file changes.
 pub async fn run_gateway(
     settings: GatewaySettings,
-    names: WireNames,
+    names: HeaderNames,
     store: Arc<dyn StoreProtocol>,
     read_settings: ReadSettings,
 ) -> Result<(), GatewayError> {
@@ -183,7 +183,7 @@
     }
 
     /// Binds free ports on the loopback interface, for tests.
-    pub fn on_loopback() -> Result<Self, GatewayError> {
+    pub fn bind_loopback() -> Result<Self, GatewayError> {
         let any_port = SocketAddr::from((std::net::Ipv4Addr::LOCALHOST, 0));
         Ok(Self {
             callers: listen("callers", any_port)?,
@@ -220,7 +220,7 @@
     /// Starts a gateway on bound listeners.
     pub fn start(
         settings: GatewaySettings,
-        names: WireNames,
+        names: HeaderNames,
         store: Arc<dyn StoreProtocol>,
         listeners: GatewayListeners,
     ) -> Self {
@@ -249,7 +249,7 @@
             closing: AtomicBool::new(false),
             shutdown: CancellationToken::new(),
             open_connections: AtomicUsize::new(0),
-            max_connections: settings.connections,
+            max_connections: settings.max_caller_connections,
             next_caller_id: AtomicU64::new(1),
             answer_delays: Arc::clone(&answer_delays),
         });
--- a/crates/thornbridge-node/src/gateway/server_reply.rs
+++ b/crates/thornbridge-node/src/gateway/server_reply.rs
@@ -1,6 +1,6 @@
 //! Conversion of a server's HTTP response to a [`ServerReply`].
 
-use super::headers::{WireNames, has_connection_close, keep_alive_seconds, strip_hop_by_hop};
+use super::headers::{HeaderNames, has_connection_close, keep_alive_seconds, strip_hop_by_hop};
 use crate::back_ends::reply::collect;
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -14,7 +14,7 @@
 
 /// Reads the reply to the request with id `request_id`, body included.
 pub(super) async fn read(
-    names: &WireNames,
+    names: &HeaderNames,
     request_id: &HeaderValue,
     response: Response<Incoming>,
 ) -> Result<ServerReply, ExchangeFailure> {
@@ -45,7 +45,7 @@
 }
 
 fn classify(
-    names: &WireNames,
+    names: &HeaderNames,
     request_id: &HeaderValue,
     status: StatusCode,
     headers: &HeaderMap,
@@ -69,12 +69,12 @@
     ReplyVerdict::Answer
 }
 
-fn signature_value(names: &WireNames, headers: &HeaderMap) -> Option<Bytes> {
+fn signature_value(names: &HeaderNames, headers: &HeaderMap) -> Option<Bytes> {
     let value = headers.get(&names.signature)?;
     Some(Bytes::copy_from_slice(value.as_bytes()))
 }
 
-fn parse_load(names: &WireNames, headers: &HeaderMap) -> Option<ServerLoad> {
+fn parse_load(names: &HeaderNames, headers: &HeaderMap) -> Option<ServerLoad> {
     let value = headers.get(&names.load)?.to_str().ok()?;
     let mut numbers = value.split(',').map(|number| number.trim().parse().ok());
     Some(ServerLoad {
--- a/crates/thornbridge-node/src/gateway/settings.rs
+++ b/crates/thornbridge-node/src/gateway/settings.rs
@@ -30,7 +30,7 @@
     /// Maximum duration of a planned stop.
     pub stop_grace: Duration,
     /// Maximum number of caller connections.
-    pub connections: usize,
+    pub max_caller_connections: usize,
 }
 
 /// Reads the settings again, for a reload. The error lists all problems found.
--- a/crates/thornbridge-node/src/gateway/store.rs
+++ b/crates/thornbridge-node/src/gateway/store.rs
@@ -27,9 +27,9 @@
     /// Builds the request for a read.
     fn request(&self, kind: ViewKind, read: &SourceRead) -> Request<Full<Bytes>>;
     /// Parses the era in a response's headers.
-    fn era(&self, headers: &HeaderMap) -> ReportedEra;
+    fn parse_era(&self, headers: &HeaderMap) -> ReportedEra;
     /// Parses a response to a read.
-    fn reply(
+    fn parse_reply(
         &self,
         kind: ViewKind,
         read: &SourceRead,
@@ -88,13 +88,13 @@
         let response = sender.send_request(request).await;
         let response = response.map_err(|_| SourceFailure::Unreachable)?;
         let status = response.status();
-        let reported = self.protocol.era(response.headers());
+        let reported = self.protocol.parse_era(response.headers());
         let body = response.into_body().collect().await;
         let body = body.map_err(|_| SourceFailure::Unreachable)?.to_bytes();
         // Keep the connection only after a complete response: after a timeout, it may be dead.
         self.put_idle(kind, sender);
         let era = self.observe_era(kind, &reported)?;
-        let reply = self.protocol.reply(kind, query, status, &body)?;
+        let reply = self.protocol.parse_reply(kind, query, status, &body)?;
         Ok(reply.in_era(era))
     }
 
--- a/crates/thornbridge-node/src/peers/mod.rs
+++ b/crates/thornbridge-node/src/peers/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// Removes peers without a link that have been unused for the idle time.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn remove_unused(&self) {
         self.shared.table.remove_unused(self.shared.parameters.idle);
     }
 
--- a/crates/thornbridge-node/src/unanswered.rs
+++ b/crates/thornbridge-node/src/unanswered.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unanswered {
     /// The driver had ended before: it did not run and will not.
-    NeverTaken,
+    NotAccepted,
     /// The driver ended after it was handed over: it may have run.
     OutcomeUnknown(OutcomeUnknown),
 }
