--- a/crates/thornbridge-core/src/configuration/gossip.rs
+++ b/crates/thornbridge-core/src/configuration/gossip.rs
@@ -92,7 +92,7 @@
         self.platform_heard.map(|heard| now.since(heard))
     }
 
-    pub(super) fn platform_heard(&mut self, at: Timestamp) {
+    pub(super) fn record_platform_contact(&mut self, at: Timestamp) {
         self.platform_heard = self.platform_heard.max(Some(at));
     }
 
@@ -105,7 +105,7 @@
     pub(super) fn platform_heard_by_peer(&mut self, at: Timestamp) {
         let gain = |held: Timestamp| at.since(held) >= PLATFORM_NEWS_GAIN;
         if self.platform_heard.is_none_or(gain) {
-            self.platform_heard(at);
+            self.record_platform_contact(at);
         }
     }
 
--- a/crates/thornbridge-core/src/configuration/mod.rs
+++ b/crates/thornbridge-core/src/configuration/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// Why there is no configuration yet, in words; absent when there is one.
-    pub fn obstacle(&self) -> Option<String> {
+    pub fn unavailable_reason(&self) -> Option<String> {
         if self.active().is_some() {
             return None;
         }
@@ -96,12 +96,12 @@
     }
 
     /// The platform was heard at this time, by this node or, as a peer tells, by another.
-    pub fn platform_heard(&mut self, at: Timestamp) {
-        self.gossip.platform_heard(at);
+    pub fn record_platform_contact(&mut self, at: Timestamp) {
+        self.gossip.record_platform_contact(at);
     }
 
     /// Reads the platform from now on, or no more, as the node's reader lease says.
-    pub fn set_reading(
+    pub fn set_platform_reader(
         &mut self,
         context: &mut Context<'_>,
         reading: bool,
@@ -146,7 +146,7 @@
             return;
         }
         if result.is_ok() {
-            self.gossip.platform_heard(context.now);
+            self.gossip.record_platform_contact(context.now);
         }
         let news = self
             .reader
@@ -163,7 +163,7 @@
         last_operation: &mut u64,
     ) {
         if self.reader.is_watching(watch) {
-            self.gossip.platform_heard(context.now);
+            self.gossip.record_platform_contact(context.now);
             let news = self.reader.watch_changed(watch, change);
             self.take_news(context, news, last_operation);
         }
--- a/crates/thornbridge-core/src/control.rs
+++ b/crates/thornbridge-core/src/control.rs
@@ -121,7 +121,7 @@
         result: &Result<PlatformResponse, PlatformFailure>,
     ) {
         if is_answer(result) {
-            self.configuration.platform_heard(context.now);
+            self.configuration.record_platform_contact(context.now);
         }
         if self.machine_list == Some(operation) {
             self.machine_list = None;
@@ -210,7 +210,8 @@
         } else {
             Vec::new()
         };
-        self.configuration.set_reading(context, reading, standbys);
+        self.configuration
+            .set_platform_reader(context, reading, standbys);
     }
 
     /// Candidates that wait behind the readers go by how long the platform was not heard.
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -28,7 +28,7 @@
             readiness: self.readiness(),
             configuration: active.map(|active| active.reference.clone()),
             members: self.control.membership.view().members().to_vec(),
-            configuration_obstacle: self.control.configuration.obstacle(),
+            configuration_obstacle: self.control.configuration.unavailable_reason(),
             leases: self.control.readers.statuses(self.now),
             platform_staleness: self.control.configuration.platform_age(self.now),
             platform_reachable: self.control.configuration.platform_reachable(),
--- a/crates/thornbridge-core/src/operator/error.rs
+++ b/crates/thornbridge-core/src/operator/error.rs
@@ -150,7 +150,7 @@
     },
     /// Exactly this is in force already.
     #[snafu(display("version {version} is already in force as generation {generation}"))]
-    AlreadyInForce {
+    AlreadyActive {
         /// Version.
         version: BundleVersion,
         /// Generation.
@@ -219,7 +219,7 @@
             | Self::ApprovedByAnother { .. }
             | Self::LostRace { .. }
             | Self::UnexpectedGeneration { .. }
-            | Self::AlreadyInForce { .. }
+            | Self::AlreadyActive { .. }
             | Self::Held { .. }
             | Self::TooManyRestarts => OperatorErrorKind::Refused,
             Self::OutcomeUnknown { .. } => OperatorErrorKind::Unknown,
--- a/crates/thornbridge-core/src/operator/mod.rs
+++ b/crates/thornbridge-core/src/operator/mod.rs
@@ -118,7 +118,7 @@
 #[derive(Debug)]
 pub enum OperatorStep {
     /// Carry out, and call [`OperatorSession::step`] with the answer.
-    Ask(PlatformRequest),
+    Request(PlatformRequest),
     /// Wait this long, and call [`OperatorSession::step`] with `None`.
     Wait(Duration),
     /// The command ended.
@@ -202,7 +202,7 @@
 
     fn ask_again(&mut self) -> OperatorStep {
         match self.asked.clone() {
-            Some(request) => OperatorStep::Ask(request),
+            Some(request) => OperatorStep::Request(request),
             None => {
                 let next = self.flow.begin();
                 self.follow(next)
@@ -220,7 +220,7 @@
             Next::Ask(request) => {
                 self.repeated = 0;
                 self.asked = Some(request.clone());
-                OperatorStep::Ask(request)
+                OperatorStep::Request(request)
             }
             Next::ReadAgain => self.pause(&PlatformFailure::NoAnswer),
             Next::Done(result) => OperatorStep::Done(*result),
--- a/crates/thornbridge-core/src/operator/rollout.rs
+++ b/crates/thornbridge-core/src/operator/rollout.rs
@@ -130,7 +130,7 @@
                 && current.signature == *signature
         });
         if same {
-            return Err(OperatorError::AlreadyInForce {
+            return Err(OperatorError::AlreadyActive {
                 version: approval.version.clone(),
                 generation: found,
             });
--- a/crates/thornbridge-core/tests/control/cluster.rs
+++ b/crates/thornbridge-core/tests/control/cluster.rs
@@ -216,7 +216,7 @@
         let mut last = None;
         loop {
             match session.step(last.take()) {
-                OperatorStep::Ask(request) => last = Some(self.apply(&request)),
+                OperatorStep::Request(request) => last = Some(self.apply(&request)),
                 OperatorStep::Wait(_) => {}
                 OperatorStep::Done(result) => {
                     result.expect("nobody else operates");
--- a/crates/thornbridge-core/tests/control/operators.rs
+++ b/crates/thornbridge-core/tests/control/operators.rs
@@ -259,7 +259,7 @@
             }
         });
         match running.session.step(last) {
-            OperatorStep::Ask(request) => running.asked = Some(request),
+            OperatorStep::Request(request) => running.asked = Some(request),
             OperatorStep::Wait(_) => {}
             OperatorStep::Done(result) => {
                 running.ended = Some(result.map_err(|error| error.kind()));
--- a/crates/thornbridge-rehearsal/src/simulator/operators.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/operators.rs
@@ -86,7 +86,7 @@
         let operator = self.new_operator(RollOutStep::Plain);
         let mut answer = None;
         while let Some(next) = self.operator_next(operator, answer.take()) {
-            if let OperatorStep::Ask(request) = next {
+            if let OperatorStep::Request(request) = next {
                 let client = PlatformClient::Operator(operator);
                 answer = Some(self.store(client, request));
             }
@@ -145,7 +145,7 @@
             super::node_steps::shortened(format!("operator-{operator} <- {answer:?}"))
         });
         match self.operator_next(operator, answer) {
-            Some(OperatorStep::Ask(request)) => {
+            Some(OperatorStep::Request(request)) => {
                 let client = PlatformClient::Operator(operator);
                 let operation = OperationId(0);
                 let arrival = PlatformArrival::Request { operation, request };
--- a/crates/thornbridge/src/operator.rs
+++ b/crates/thornbridge/src/operator.rs
@@ -26,7 +26,7 @@
     let mut answer = None;
     loop {
         match session.step(answer.take()) {
-            OperatorStep::Ask(request) => answer = Some(client.execute(&request).await),
+            OperatorStep::Request(request) => answer = Some(client.execute(&request).await),
             OperatorStep::Wait(pause) => tokio::time::sleep(pause).await,
             OperatorStep::Done(result) => return result.context(OperatorSnafu { platform }),
         }
