--- a/crates/thornbridge-core/benches/routing.rs
+++ b/crates/thornbridge-core/benches/routing.rs
@@ -1,6 +1,6 @@
-//! Cost of routing: one sub-request (choose, dispatch, reply), and the computation of subsets.
+//! Benchmarks of routing: one attempt (choose, dispatch, reply), and the computation of a subset.
 
-#![allow(missing_docs)] // The macros of criterion make functions without any.
+#![allow(missing_docs)] // Criterion's macros generate functions without docs.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
@@ -81,15 +81,15 @@
     let record = GenerationRecord {
         generation: Generation(1),
         version: bundle.version.clone(),
-        digest: canonical::digest(&bundle).expect("encodes"),
+        digest: canonical::digest(&bundle).expect("bundle is serializable"),
         change: ChangeId::new("change"),
         key_id: String::new(),
         signature: Vec::new(),
     };
-    Arc::new(ActiveConfiguration::new(record, bundle).expect("is consistent"))
+    Arc::new(ActiveConfiguration::new(record, bundle).expect("bundle is valid"))
 }
 
-fn view(nodes: u64) -> Arc<MemberView> {
+fn member_view(nodes: u64) -> Arc<MemberView> {
     let member = |node: u64| MemberRecord {
         endpoint: PeerEndpoint {
             node: NodeId(node * 7919),
@@ -108,6 +108,7 @@
     ))
 }
 
+/// Router with the driver's state.
 struct Bench {
     router: Router,
     random: Pcg64Mcg,
@@ -160,7 +161,7 @@
         }
     }
 
-    fn sub_request(&mut self, replicas: &[BackEndId], shard: ShardId) {
+    fn run_attempt(&mut self, replicas: &[BackEndId], shard: ShardId) {
         self.now = self.now + Duration::from_micros(50);
         let id = self.router.next_attempt_id();
         let attempt = Attempt {
@@ -180,7 +181,9 @@
             },
         };
         self.call(|router, context| {
-            let back_end = router.choose(context, replicas, &[]).expect("has one");
+            let back_end = router
+                .choose(context, replicas, &[])
+                .expect("a replica is available");
             router.dispatch(context, &back_end, AttemptOwner::Query, attempt);
         });
         let sent = self.actions.pop_front();
@@ -208,22 +211,22 @@
     }
 }
 
-fn sub_requests(criterion: &mut Criterion) {
+fn attempts(criterion: &mut Criterion) {
     for (shards, replicas) in [(8, 2), (190, 3)] {
         let mut bench = Bench::new();
         let bundle = bundle(shards, replicas, 12);
-        let shards_of = bundle.services[0].layouts[0].shards.clone();
-        let view = view(12);
+        let replicas_by_shard = bundle.services[0].layouts[0].shards.clone();
+        let view = member_view(12);
         bench.call(|router, context| router.members_changed(context, &view));
         let active = active_configuration(bundle);
         bench.call(|router, context| router.install(context, &active));
         bench.open_connections();
-        let mut next = 0;
+        let mut next_shard = 0;
         let name = format!("choose, dispatch and reply, {shards} shards of {replicas}");
         criterion.bench_function(&name, |bencher| {
             bencher.iter(|| {
-                next = (next + 1) % shards;
-                bench.sub_request(&shards_of[next], ShardId(next as u32));
+                next_shard = (next_shard + 1) % shards;
+                bench.run_attempt(&replicas_by_shard[next_shard], ShardId(next_shard as u32));
             });
         });
     }
@@ -234,7 +237,7 @@
     group.sample_size(10);
     for (nodes, shards, replicas) in [(40, 16, 12), (160, 64, 12), (690, 190, 17)] {
         let active = active_configuration(bundle(shards, replicas, nodes));
-        let view = view(u64::from(nodes));
+        let view = member_view(u64::from(nodes));
         let name = format!("{nodes} nodes, {} servers", shards * replicas);
         group.bench_function(&name, |bencher| {
             bencher.iter_with_large_drop(|| {
@@ -248,5 +251,5 @@
     group.finish();
 }
 
-criterion_group!(benches, sub_requests, subsets);
+criterion_group!(benches, attempts, subsets);
 criterion_main!(benches);
--- a/crates/thornbridge-core/src/routing/tests/fixture.rs
+++ b/crates/thornbridge-core/src/routing/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! Bundles, member lists and settings that the tests of routing share.
+//! Bundles, member lists and settings for the routing tests.
 
 use crate::configuration::ActiveConfiguration;
 use crate::membership::MemberView;
@@ -17,10 +17,10 @@
 
 pub const CONNECTIONS: u32 = 6;
 pub const MAXIMUM_NODES: u32 = 2;
-/// What the default reserve and [`MAXIMUM_NODES`] leave to one node.
-pub const SHARE: usize = 2;
+/// Connection share of one node with the default reserve and [`MAXIMUM_NODES`] nodes.
+pub const CONNECTION_SHARE: usize = 2;
 
-pub fn fixed(cases: u32) -> Config {
+pub fn proptest_config(cases: u32) -> Config {
     let long = std::env::var_os("THORNBRIDGE_LONG").is_some();
     Config {
         cases: if long { cases * 100 } else { cases },
@@ -30,13 +30,13 @@
     }
 }
 
-pub fn id(shard: usize, replica: usize) -> BackEndId {
+pub fn back_end_id(shard: usize, replica: usize) -> BackEndId {
     BackEndId::new(format!("s{shard}-r{replica}"))
 }
 
 pub fn bundle(shards: usize, replicas: usize, connections: u32, maximum_nodes: u32) -> Bundle {
     let back_end = |shard: usize, replica: usize| BackEnd {
-        id: id(shard, replica),
+        id: back_end_id(shard, replica),
         address: ([127, 0, 0, 1], 1000 + (shard * replicas + replica) as u16).into(),
         zone: format!("zone-{}", (shard + replica) % 3).into(),
         slots: 4,
@@ -60,7 +60,11 @@
         layouts: vec![Layout {
             id: "layout".into(),
             shards: (0..shards)
-                .map(|shard| (0..replicas).map(|replica| id(shard, replica)).collect())
+                .map(|shard| {
+                    (0..replicas)
+                        .map(|replica| back_end_id(shard, replica))
+                        .collect()
+                })
                 .collect(),
         }],
         snapshots: vec![Snapshot {
@@ -104,7 +108,7 @@
     }
 }
 
-pub fn view(nodes: u64) -> Arc<MemberView> {
+pub fn member_view(nodes: u64) -> Arc<MemberView> {
     let others = (2..=nodes)
         .map(|node| member(node, node as usize))
         .collect();
--- a/crates/thornbridge-core/src/routing/tests/harness.rs
+++ b/crates/thornbridge-core/src/routing/tests/harness.rs
@@ -1,6 +1,6 @@
-//! A driver of one router that checks, with each action, what must always hold.
+//! Driver of one router that checks its invariants after every call.
 
-use super::fixture::{SHARE, active_configuration, view};
+use super::fixture::{CONNECTION_SHARE, active_configuration, member_view};
 use crate::routing::{AttemptOwner, FinishedAttempt, Router, RoutingParameters};
 use crate::{Action, AttemptFailure, ConnectionId, Context, Signal, Timestamp};
 use rand::SeedableRng;
@@ -12,23 +12,23 @@
 use thornbridge_proto::{AttemptId, BackEndId, NodeId, RequestId, ShardId};
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Link {
+enum ConnectionState {
     Opening,
     Idle,
     Busy(AttemptId),
 }
 
-/// What the driver knows, kept apart from the router's own books.
+/// Driver state, tracked independently of the router.
 pub struct Harness {
     pub router: Router,
     pub now: Timestamp,
     pub signals: VecDeque<Signal>,
-    /// Attempts not ended, with their back end; false once cancelled.
-    pub open: BTreeMap<AttemptId, (BackEndId, bool)>,
+    /// Attempts in progress, with their back end and whether a result is expected (not cancelled).
+    pub attempts: BTreeMap<AttemptId, (BackEndId, bool)>,
     pub sent: BTreeMap<AttemptId, (ConnectionId, Attempt)>,
-    links: BTreeMap<ConnectionId, (BackEndId, Link)>,
+    connections: BTreeMap<ConnectionId, (BackEndId, ConnectionState)>,
     pub leaving: Vec<BackEndId>,
-    pub connections_per_back_end: usize,
+    pub max_connections_per_back_end: usize,
     random: Pcg64Mcg,
     actions: VecDeque<Action>,
 }
@@ -39,15 +39,15 @@
             router: Router::new(parameters),
             now: Timestamp::from_epoch(Duration::from_secs(1)),
             signals: VecDeque::new(),
-            open: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             sent: BTreeMap::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             leaving: Vec::new(),
-            connections_per_back_end: SHARE,
+            max_connections_per_back_end: CONNECTION_SHARE,
             random: Pcg64Mcg::seed_from_u64(11),
             actions: VecDeque::new(),
         };
-        harness.call(|router, context| router.members_changed(context, &view(nodes)));
+        harness.call(|router, context| router.members_changed(context, &member_view(nodes)));
         harness.install(bundle);
         harness
     }
@@ -57,7 +57,7 @@
         self.call(|router, context| router.install(context, &active));
     }
 
-    /// Calls the router, then carries out and checks every action.
+    /// Calls the router, then executes and checks every action.
     pub fn call<T>(&mut self, call: impl FnOnce(&mut Router, &mut Context<'_>) -> T) -> T {
         let mut context = Context::new(
             self.now,
@@ -67,17 +67,17 @@
         );
         let result = call(&mut self.router, &mut context);
         while let Some(action) = self.actions.pop_front() {
-            self.carry_out(action);
+            self.execute(action);
         }
         while let Some(finished) = self.router.poll_finished() {
             assert_eq!(finished.result, Err(AttemptFailure::NotSent));
-            self.ended(&finished);
+            self.remove_finished(&finished);
         }
-        self.check();
+        self.check_invariants();
         result
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::OpenConnection {
                 connection,
@@ -86,52 +86,69 @@
             } => {
                 assert!(
                     !self.leaving.contains(&back_end),
-                    "connects to a leaving one"
+                    "connection opened to leaving back end"
                 );
-                self.links.insert(connection, (back_end, Link::Opening));
+                self.connections
+                    .insert(connection, (back_end, ConnectionState::Opening));
             }
             Action::CloseConnection { connection } => {
-                self.links.remove(&connection).expect("closes what is open");
+                self.connections
+                    .remove(&connection)
+                    .expect("closed connection is tracked");
             }
             Action::SendAttempt {
                 connection,
                 attempt,
             } => {
-                let (back_end, link) = self.links.get_mut(&connection).expect("is open");
-                assert_eq!(*link, Link::Idle, "one attempt at a time");
-                assert_eq!(self.open[&attempt.attempt], (back_end.clone(), true));
-                assert!(!self.leaving.contains(back_end), "sends to a leaving one");
-                *link = Link::Busy(attempt.attempt);
+                let (back_end, state) = self
+                    .connections
+                    .get_mut(&connection)
+                    .expect("connection is tracked");
+                assert_eq!(
+                    *state,
+                    ConnectionState::Idle,
+                    "attempt sent on busy connection"
+                );
+                assert_eq!(self.attempts[&attempt.attempt], (back_end.clone(), true));
+                assert!(
+                    !self.leaving.contains(back_end),
+                    "attempt sent to leaving back end"
+                );
+                *state = ConnectionState::Busy(attempt.attempt);
                 self.sent.insert(attempt.attempt, (connection, attempt));
             }
             _ => {}
         }
     }
 
-    fn check(&self) {
-        let mut links: BTreeMap<&BackEndId, usize> = BTreeMap::new();
-        self.links
+    fn check_invariants(&self) {
+        let mut connections: BTreeMap<&BackEndId, usize> = BTreeMap::new();
+        self.connections
             .values()
-            .for_each(|(back_end, _)| *links.entry(back_end).or_default() += 1);
-        for (back_end, count) in links {
+            .for_each(|(back_end, _)| *connections.entry(back_end).or_default() += 1);
+        for (back_end, count) in connections {
             assert!(
-                count <= self.connections_per_back_end,
-                "{back_end}: {count}"
+                count <= self.max_connections_per_back_end,
+                "{back_end} has {count} connections"
             );
         }
         let mut attempts: BTreeMap<&BackEndId, u32> = BTreeMap::new();
-        self.open
+        self.attempts
             .values()
             .for_each(|(back_end, _)| *attempts.entry(back_end).or_default() += 1);
         for (back_end, count) in attempts {
-            assert_eq!(self.router.in_flight_at(back_end), count, "{back_end}");
+            assert_eq!(
+                self.router.in_flight_at(back_end),
+                count,
+                "attempts at {back_end}"
+            );
         }
-        assert_eq!(self.router.attempts_in_flight(), self.open.len());
+        assert_eq!(self.router.attempts_in_flight(), self.attempts.len());
     }
 
-    fn ended(&mut self, finished: &FinishedAttempt) {
-        let known = self.open.remove(&finished.attempt.attempt);
-        assert_eq!(known, Some((finished.back_end.clone(), true)));
+    fn remove_finished(&mut self, finished: &FinishedAttempt) {
+        let removed = self.attempts.remove(&finished.attempt.attempt);
+        assert_eq!(removed, Some((finished.back_end.clone(), true)));
         self.sent.remove(&finished.attempt.attempt);
     }
 
@@ -157,7 +174,7 @@
                 limit: 1,
             },
         };
-        self.open.insert(id, (back_end.clone(), true));
+        self.attempts.insert(id, (back_end.clone(), true));
         self.call(|router, context| {
             router.dispatch(context, back_end, AttemptOwner::Query, attempt);
         });
@@ -165,21 +182,27 @@
     }
 
     pub fn cancel(&mut self, attempt: AttemptId) {
-        match self.open.get_mut(&attempt) {
+        match self.attempts.get_mut(&attempt) {
             Some(open) if self.sent.contains_key(&attempt) => open.1 = false,
             _ => {
-                self.open.remove(&attempt);
+                self.attempts.remove(&attempt);
             }
         }
         self.call(|router, context| router.cancel(context, attempt));
     }
 
     pub fn reply(&mut self, attempt: AttemptId, outcome: ReplyOutcome, load: Option<LoadReport>) {
-        let (connection, sent) = self.sent.remove(&attempt).expect("was sent");
-        self.links.get_mut(&connection).expect("is open").1 = Link::Idle;
-        let (_, wanted) = self.open.remove(&attempt).expect("is open");
+        let (connection, sent) = self.sent.remove(&attempt).expect("attempt was sent");
+        self.connections
+            .get_mut(&connection)
+            .expect("connection is tracked")
+            .1 = ConnectionState::Idle;
+        let (_, expects_result) = self
+            .attempts
+            .remove(&attempt)
+            .expect("attempt is in progress");
         if let ReplyOutcome::Leaving = outcome {
-            self.leaving.push(self.links[&connection].0.clone());
+            self.leaving.push(self.connections[&connection].0.clone());
         }
         let reply = BackEndReply {
             request: sent.request,
@@ -188,38 +211,46 @@
             outcome,
         };
         let finished = self.call(|router, context| router.replied(context, attempt, reply, load));
-        assert_eq!(finished.is_some(), wanted, "reported unless cancelled");
+        assert_eq!(
+            finished.is_some(),
+            expects_result,
+            "result expected unless cancelled"
+        );
     }
 
-    pub fn hits() -> ReplyOutcome {
+    pub fn hits_outcome() -> ReplyOutcome {
         ReplyOutcome::Hits {
             snapshot: "snapshot".into(),
             hits: Vec::new(),
         }
     }
 
-    /// A connection breaks: its attempt fails first, as drivers tell it.
-    pub fn lose(&mut self, connection: ConnectionId, failure: AttemptFailure) {
-        let (_, link) = self.links[&connection].clone();
-        if let Link::Busy(attempt) = link {
-            let (back_end, wanted) = self.open.remove(&attempt).expect("is open");
+    /// Breaks a connection. Reports the failure of its attempt first, as drivers do.
+    pub fn break_connection(&mut self, connection: ConnectionId, failure: AttemptFailure) {
+        let (_, state) = self.connections[&connection].clone();
+        if let ConnectionState::Busy(attempt) = state {
+            let (back_end, expects_result) = self
+                .attempts
+                .remove(&attempt)
+                .expect("attempt is in progress");
             self.sent.remove(&attempt);
-            // It may be moved to another connection, so it is open until it is reported.
+            // The attempt may be moved to another connection, so it stays in progress for now.
             let moved_before = self.router.counters().attempts_moved;
-            self.open.insert(attempt, (back_end.clone(), wanted));
-            let finished = self.fail_quietly(attempt, failure);
+            self.attempts
+                .insert(attempt, (back_end.clone(), expects_result));
+            let finished = self.fail_attempt(attempt, failure);
             let moved = self.router.counters().attempts_moved > moved_before;
-            assert_eq!(finished.is_some(), wanted && !moved);
+            assert_eq!(finished.is_some(), expects_result && !moved);
             if !moved {
-                self.open.remove(&attempt);
+                self.attempts.remove(&attempt);
             }
-            self.check();
+            self.check_invariants();
         }
-        self.links.remove(&connection);
+        self.connections.remove(&connection);
         self.call(|router, context| router.connection_lost(context, connection));
     }
 
-    fn fail_quietly(
+    fn fail_attempt(
         &mut self,
         attempt: AttemptId,
         failure: AttemptFailure,
@@ -232,54 +263,57 @@
         );
         let finished = self.router.failed(&mut context, attempt, failure);
         while let Some(action) = self.actions.pop_front() {
-            self.carry_out(action);
+            self.execute(action);
         }
         while let Some(finished) = self.router.poll_finished() {
-            self.ended(&finished);
+            self.remove_finished(&finished);
         }
         finished
     }
 
-    pub fn opened(&mut self, connection: ConnectionId) {
-        self.links.get_mut(&connection).expect("is known").1 = Link::Idle;
+    pub fn complete_open(&mut self, connection: ConnectionId) {
+        self.connections
+            .get_mut(&connection)
+            .expect("connection is tracked")
+            .1 = ConnectionState::Idle;
         self.call(|router, context| router.connection_opened(context, connection));
     }
 
-    pub fn open_all(&mut self) {
-        while let Some(connection) = self.opening().first().copied() {
-            self.opened(connection);
+    pub fn open_connections(&mut self) {
+        while let Some(connection) = self.opening_connections().first().copied() {
+            self.complete_open(connection);
         }
     }
 
-    pub fn opening(&self) -> Vec<ConnectionId> {
-        self.links
+    pub fn opening_connections(&self) -> Vec<ConnectionId> {
+        self.connections
             .iter()
-            .filter(|(_, (_, link))| *link == Link::Opening)
+            .filter(|(_, (_, state))| *state == ConnectionState::Opening)
             .map(|(connection, _)| *connection)
             .collect()
     }
 
-    pub fn links(&self) -> Vec<ConnectionId> {
-        self.links.keys().copied().collect()
+    pub fn connections(&self) -> Vec<ConnectionId> {
+        self.connections.keys().copied().collect()
     }
 
-    pub fn links_to(&self, back_end: &BackEndId) -> Vec<ConnectionId> {
-        self.links
+    pub fn connections_to(&self, back_end: &BackEndId) -> Vec<ConnectionId> {
+        self.connections
             .iter()
             .filter(|(_, (to, _))| to == back_end)
             .map(|(connection, _)| *connection)
             .collect()
     }
 
-    /// Time passes; due timers run. Abandoned attempts end with it.
-    pub fn pass(&mut self, time: Duration) {
+    /// Advances the time and runs due timers.
+    pub fn advance_time(&mut self, time: Duration) {
         let end = self.now + time;
         let mut calls = 0;
         while let Some(due) = self.router.next_timeout().filter(|due| *due <= end) {
             self.now = due.max(self.now);
             self.timer();
             calls += 1;
-            assert!(calls < 100_000, "a timer that is never done");
+            assert!(calls < 100_000, "timer stays due after {calls} calls");
         }
         self.now = end;
     }
@@ -294,18 +328,24 @@
         self.router.timer_due(&mut context);
         while let Some(action) = self.actions.pop_front() {
             if let Action::CloseConnection { connection } = action
-                && let Some((_, Link::Busy(attempt))) = self.links.get(&connection)
+                && let Some((_, ConnectionState::Busy(attempt))) = self.connections.get(&connection)
             {
-                let (_, wanted) = self.open.remove(attempt).expect("is open");
-                assert!(!wanted, "only cancelled ones are abandoned");
+                let (_, expects_result) = self
+                    .attempts
+                    .remove(attempt)
+                    .expect("attempt is in progress");
+                assert!(
+                    !expects_result,
+                    "connection of an uncancelled attempt closed"
+                );
                 self.sent.remove(attempt);
             }
-            self.carry_out(action);
+            self.execute(action);
         }
         while let Some(finished) = self.router.poll_finished() {
             assert_eq!(finished.result, Err(AttemptFailure::NotSent));
-            self.ended(&finished);
+            self.remove_finished(&finished);
         }
-        self.check();
+        self.check_invariants();
     }
 }
--- a/crates/thornbridge-core/src/routing/tests/subsets.rs
+++ b/crates/thornbridge-core/src/routing/tests/subsets.rs
@@ -1,6 +1,6 @@
-//! The assignment of nodes to back ends, checked over whole clusters.
+//! Assignment of nodes to back ends, checked over whole clusters.
 
-use super::fixture::fixed;
+use super::fixture::proptest_config;
 use crate::routing::subset::server_hash;
 use crate::routing::subset::{SubsetBuild, SubsetNode, SubsetParameters, SubsetServer, Topology};
 use proptest::prelude::*;
@@ -34,29 +34,33 @@
     Topology { servers, groups }
 }
 
-fn shares_of_all(topology: &Topology, nodes: &[SubsetNode], expected: u32) -> Vec<Vec<u32>> {
+fn shares_of_all_nodes(
+    topology: &Topology,
+    nodes: &[SubsetNode],
+    expected_nodes: u32,
+) -> Vec<Vec<u32>> {
     let parameters = SubsetParameters::default();
-    let mut build = SubsetBuild::new(parameters, topology.clone(), nodes.to_vec(), expected);
+    let mut build = SubsetBuild::new(parameters, topology.clone(), nodes.to_vec(), expected_nodes);
     while !build.advance(100) {}
     nodes.iter().map(|node| build.shares(node.node)).collect()
 }
 
 proptest! {
-    #![proptest_config(fixed(100))]
+    #![proptest_config(proptest_config(100))]
 
-    /// All nodes together never exceed a back end's limit, and no shard gives one node a second
-    /// replica while another has none.
+    /// All nodes together stay within a back end's connection limit, and no node has two replicas of a
+    /// shard while another has none.
     #[test]
-    fn limit_holds_and_reach_is_fair(
+    fn connection_limits_hold_and_replicas_are_divided_fairly(
         node_count in 1..120usize,
         shards in 1..6usize,
         replicas in 1..8usize,
         connections in 1..80u32,
-        more_expected in 0..40u32,
+        invisible_nodes in 0..40u32,
     ) {
         let topology = topology(shards, replicas, connections);
         let nodes = nodes(node_count);
-        let shares = shares_of_all(&topology, &nodes, node_count as u32 + more_expected);
+        let shares = shares_of_all_nodes(&topology, &nodes, node_count as u32 + invisible_nodes);
         for server in 0..topology.servers.len() {
             let used: u32 = shares.iter().map(|shares| shares[server]).sum();
             prop_assert!(used <= connections);
@@ -67,17 +71,17 @@
             };
             let least = shares.iter().map(reached).min().unwrap_or(0);
             let most = shares.iter().map(reached).max().unwrap_or(0);
-            prop_assert!(most < 2 || least > 0 , "{least} to {most}");
+            prop_assert!(most < 2 || least > 0 , "{least} to {most} replicas per node");
         }
     }
 }
 
-/// At the size of letter 1 each server's limit holds, and every node reaches every shard.
+/// Every node is assigned a replica of every shard, with many nodes and shards.
 #[test]
-fn full_size_reaches_every_shard() {
+fn every_node_reaches_every_shard_of_large_cluster() {
     let topology = topology(190, 17, 70);
     let nodes = nodes(690);
-    let shares = shares_of_all(&topology, &nodes, 690);
+    let shares = shares_of_all_nodes(&topology, &nodes, 690);
     for group in &topology.groups {
         for shares in &shares {
             assert!(group.iter().any(|server| shares[*server as usize] > 0));
@@ -85,15 +89,15 @@
     }
 }
 
-/// Where limits allow two replicas, they lie in different zones; the first in the node's own.
+/// Replicas assigned to a node are in different zones, mostly including its own.
 #[test]
-fn replicas_lie_in_different_zones() {
+fn assigned_replicas_are_in_different_zones() {
     let topology = topology(8, 6, 40);
     let nodes = nodes(60);
-    let shares = shares_of_all(&topology, &nodes, 60);
+    let shares = shares_of_all_nodes(&topology, &nodes, 60);
     let mut pairs = 0;
     let mut own_zone = 0;
-    let mut spread = 0;
+    let mut multi_zone = 0;
     for group in &topology.groups {
         for (node, shares) in nodes.iter().zip(&shares) {
             let zones: std::collections::BTreeSet<&ZoneName> = group
@@ -103,31 +107,37 @@
                 .collect();
             pairs += 1;
             own_zone += usize::from(zones.contains(&node.zone));
-            spread += usize::from(zones.len() >= 2);
+            multi_zone += usize::from(zones.len() >= 2);
         }
     }
-    assert_eq!(spread, pairs);
-    assert!(own_zone * 10 >= pairs * 9, "{own_zone} of {pairs}");
+    assert_eq!(multi_zone, pairs);
+    assert!(
+        own_zone * 10 >= pairs * 9,
+        "{own_zone} of {pairs} pairs include the own zone"
+    );
 }
 
-/// One node more or less moves few connections of the others.
+/// Removing a node changes few assignments of the others.
 #[test]
-fn a_lost_node_moves_few_connections() {
+fn node_removal_moves_few_assignments() {
     let topology = topology(20, 17, 70);
     let mut nodes = nodes(690);
-    let before = shares_of_all(&topology, &nodes, 690);
+    let before = shares_of_all_nodes(&topology, &nodes, 690);
     nodes.remove(345);
-    let after = shares_of_all(&topology, &nodes, 690);
-    let mut moved = 0;
+    let after = shares_of_all_nodes(&topology, &nodes, 690);
+    let mut changed = 0;
     let mut total = 0;
     for (index, after) in after.iter().enumerate() {
         let before = &before[index + usize::from(index >= 345)];
-        moved += before
+        changed += before
             .iter()
             .zip(after)
             .filter(|(old, new)| old != new)
             .count();
         total += after.iter().filter(|share| **share > 0).count();
     }
-    assert!(moved * 50 < total, "{moved} of {total}");
+    assert!(
+        changed * 50 < total,
+        "{changed} of {total} assignments changed"
+    );
 }
--- a/crates/thornbridge-core/src/routing/tests/traffic.rs
+++ b/crates/thornbridge-core/src/routing/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Random traffic and faults against the harness's books.
+//! Random traffic and faults, checked against the harness.
 
 use super::fixture::*;
 use super::harness::Harness;
@@ -18,35 +18,37 @@
     Query { shard: usize },
     Reply { which: usize, kind: u8 },
     Cancel { which: usize },
-    Open { which: usize },
-    Lose { which: usize, sent: bool },
-    Pass { millis: u64 },
+    OpenConnection { which: usize },
+    BreakConnection { which: usize, sent: bool },
+    AdvanceTime { millis: u64 },
     Leave { shard: usize, replica: usize },
-    Nodes { count: u64 },
-    Configure { shards: usize, moved: bool },
-    ProbeFails { shard: usize, replica: usize },
+    SetMembers { count: u64 },
+    Configure { shards: usize, new_addresses: bool },
+    FailProbe { shard: usize, replica: usize },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..SHARDS).prop_map(|shard| Step::Query { shard }),
         8 => (any::<usize>(), 0..12u8).prop_map(|(which, kind)| Step::Reply { which, kind }),
         3 => any::<usize>().prop_map(|which| Step::Cancel { which }),
-        6 => any::<usize>().prop_map(|which| Step::Open { which }),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, sent)| Step::Lose { which, sent }),
-        4 => (0..2000u64).prop_map(|millis| Step::Pass { millis }),
+        6 => any::<usize>().prop_map(|which| Step::OpenConnection { which }),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, sent)| Step::BreakConnection { which, sent }),
+        4 => (0..2000u64).prop_map(|millis| Step::AdvanceTime { millis }),
         1 => (0..SHARDS, 0..REPLICAS).prop_map(|(shard, replica)| Step::Leave { shard, replica }),
-        1 => (1..12u64).prop_map(|count| Step::Nodes { count }),
-        1 => (1..=SHARDS, any::<bool>()).prop_map(|(shards, moved)| Step::Configure { shards, moved }),
+        1 => (1..12u64).prop_map(|count| Step::SetMembers { count }),
+        1 => (1..=SHARDS, any::<bool>()).prop_map(|(shards, new_addresses)| Step::Configure { shards, new_addresses }),
         1 => (0..SHARDS, 0..REPLICAS)
-            .prop_map(|(shard, replica)| Step::ProbeFails { shard, replica }),
+            .prop_map(|(shard, replica)| Step::FailProbe { shard, replica }),
     ]
 }
 
-fn take(harness: &mut Harness, step: Step) {
+fn apply(harness: &mut Harness, step: Step) {
     match step {
         Step::Query { shard } => {
-            let replicas: Vec<_> = (0..REPLICAS).map(|replica| id(shard, replica)).collect();
+            let replicas: Vec<_> = (0..REPLICAS)
+                .map(|replica| back_end_id(shard, replica))
+                .collect();
             if let Some(chosen) = harness.choose(&replicas) {
                 assert!(!harness.leaving.contains(&chosen));
                 harness.dispatch(&chosen);
@@ -59,37 +61,41 @@
             }
         }
         Step::Cancel { which } => {
-            let open: Vec<_> = harness.open.keys().copied().collect();
-            if !open.is_empty() {
-                harness.cancel(open[which % open.len()]);
+            let in_progress: Vec<_> = harness.attempts.keys().copied().collect();
+            if !in_progress.is_empty() {
+                harness.cancel(in_progress[which % in_progress.len()]);
             }
         }
-        Step::Open { which } => {
-            let opening = harness.opening();
+        Step::OpenConnection { which } => {
+            let opening = harness.opening_connections();
             if !opening.is_empty() {
-                harness.opened(opening[which % opening.len()]);
+                harness.complete_open(opening[which % opening.len()]);
             }
         }
-        Step::Lose { which, sent } => {
-            let links = harness.links();
+        Step::BreakConnection { which, sent } => {
+            let connections = harness.connections();
             let failure = if sent {
                 AttemptFailure::ConnectionBroken
             } else {
                 AttemptFailure::NotSent
             };
-            if !links.is_empty() {
-                harness.lose(links[which % links.len()], failure);
+            if !connections.is_empty() {
+                harness.break_connection(connections[which % connections.len()], failure);
             }
         }
-        Step::Pass { millis } => harness.pass(Duration::from_millis(millis)),
+        Step::AdvanceTime { millis } => harness.advance_time(Duration::from_millis(millis)),
         Step::Leave { shard, replica } => leave(harness, shard, replica),
-        Step::Nodes { count } => {
-            let view = view(count);
+        Step::SetMembers { count } => {
+            let view = member_view(count);
             harness.call(|router, context| router.members_changed(context, &view));
         }
-        Step::Configure { shards, moved } => configure(harness, shards, moved),
-        Step::ProbeFails { shard, replica } => {
-            harness.call(|router, context| router.probe_failed(context, &id(shard, replica)));
+        Step::Configure {
+            shards,
+            new_addresses,
+        } => configure(harness, shards, new_addresses),
+        Step::FailProbe { shard, replica } => {
+            harness
+                .call(|router, context| router.probe_failed(context, &back_end_id(shard, replica)));
         }
     }
 }
@@ -102,13 +108,13 @@
         },
         2 => ReplyOutcome::Cancelled,
         3 => ReplyOutcome::Leaving,
-        _ => Harness::hits(),
+        _ => Harness::hits_outcome(),
     };
-    let leaves = harness.leaving.contains(&harness.open[&attempt].0);
+    let leaving = harness.leaving.contains(&harness.attempts[&attempt].0);
     let load = LoadReport {
         running: u32::from(kind),
         slots: 4,
-        readiness: if leaves {
+        readiness: if leaving {
             Readiness::Leaving
         } else {
             Readiness::Ready
@@ -119,7 +125,7 @@
 }
 
 fn leave(harness: &mut Harness, shard: usize, replica: usize) {
-    let back_end = id(shard, replica);
+    let back_end = back_end_id(shard, replica);
     let record = HealthRecord {
         back_end: back_end.clone(),
         reachable: true,
@@ -132,10 +138,10 @@
     harness.leaving.push(back_end);
 }
 
-/// A removed back end that comes back, or one with a new address, is another server.
-fn configure(harness: &mut Harness, shards: usize, moved: bool) {
+/// Back ends that are configured again or have a new address count as not leaving.
+fn configure(harness: &mut Harness, shards: usize, new_addresses: bool) {
     let mut bundle = bundle(shards, REPLICAS, CONNECTIONS, MAXIMUM_NODES);
-    if moved {
+    if new_addresses {
         for back_end in &mut bundle.services[0].back_ends {
             back_end.address.set_port(back_end.address.port() + 1000);
         }
@@ -145,14 +151,13 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(300))]
+    #![proptest_config(proptest_config(300))]
 
-    /// Whatever happens: connections stay within the share, one attempt at a time on each; each
-    /// attempt ends exactly once; nothing is sent to a back end known to be leaving; the count
-    /// of attempts in flight is the driver's own.
+    /// Connections stay within the connection share and carry one attempt at a time; each attempt
+    /// ends once; no attempt is sent to a leaving back end; counts of attempts match the harness.
     #[test]
-    fn books_agree_with_the_driver(
-        steps in prop::collection::vec(step(), 1..120),
+    fn router_invariants_hold_under_faults(
+        steps in prop::collection::vec(any_step(), 1..120),
         policy in prop::sample::select(vec![
             BalancerPolicy::Random, BalancerPolicy::PowerOfTwo, BalancerPolicy::Combined,
         ]),
@@ -164,11 +169,11 @@
         let bundle = bundle(SHARDS, REPLICAS, CONNECTIONS, MAXIMUM_NODES);
         let mut harness = Harness::new(parameters, bundle, 2);
         for step in steps {
-            take(&mut harness, step);
+            apply(&mut harness, step);
         }
-        let open: Vec<_> = harness.open.keys().copied().collect();
-        open.into_iter().for_each(|attempt| harness.cancel(attempt));
-        harness.pass(Duration::from_secs(5));
+        let in_progress: Vec<_> = harness.attempts.keys().copied().collect();
+        in_progress.into_iter().for_each(|attempt| harness.cancel(attempt));
+        harness.advance_time(Duration::from_secs(5));
         prop_assert_eq!(harness.router.attempts_in_flight(), 0);
     }
 }
