--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -4,7 +4,7 @@
 use crate::configuration::ActiveConfiguration;
 use crate::limits::{LimitParameters, Limits, Release};
 use crate::membership::MemberView;
-use crate::node::tests::world::Shape;
+use crate::node::tests::harness::BundleSpec;
 use crate::routing::{FinishedAttempt, Router, RoutingParameters};
 use crate::{Action, AttemptFailure, CallerId, Context, OperationId, Resources, Signal, Timestamp};
 use rand::SeedableRng;
@@ -113,7 +113,7 @@
 pub const SERVICE: &str = "search";
 
 fn active_configuration() -> Arc<ActiveConfiguration> {
-    let mut shape = Shape::new(CompletenessPolicy::CoverageFirst);
+    let mut shape = BundleSpec::new(CompletenessPolicy::CoverageFirst);
     shape.shards = 2;
     shape.replicas = 2;
     shape.active_configuration_with(|bundle| bundle.services[0].kind = ServiceKind::Action)
--- a/crates/thornbridge-core/src/configuration/mod.rs
+++ b/crates/thornbridge-core/src/configuration/mod.rs
@@ -338,11 +338,11 @@
     fn install(&mut self, context: &mut Context<'_>, active: Arc<ActiveConfiguration>) {
         self.counters.accepted += 1;
         let generation = active.record.generation;
-        context.act(Action::StateChanged(StateChange::ConfigurationInForce {
+        context.act(Action::StateChanged(StateChange::ConfigurationActivated {
             generation,
             version: active.record.version.clone(),
         }));
-        context.signal(Signal::ConfigurationInForce(active));
+        context.signal(Signal::ConfigurationActivated(active));
         self.gossip.accepted(context.now, generation);
     }
 
@@ -371,7 +371,7 @@
 }
 
 fn tell(context: &mut Context<'_>, reason: String) {
-    context.act(Action::StateChanged(StateChange::ConfigurationRefused {
+    context.act(Action::StateChanged(StateChange::ConfigurationRejected {
         reason,
     }));
 }
--- a/crates/thornbridge-core/src/driver_action.rs
+++ b/crates/thornbridge-core/src/driver_action.rs
@@ -147,14 +147,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StateChange {
     /// A generation came into force here.
-    ConfigurationInForce {
+    #[serde(rename = "ConfigurationInForce")]
+    ConfigurationActivated {
         /// Generation.
         generation: Generation,
         /// Version.
         version: BundleVersion,
     },
     /// A configuration was refused.
-    ConfigurationRefused {
+    #[serde(rename = "ConfigurationRefused")]
+    ConfigurationRejected {
         /// Why.
         reason: String,
     },
--- a/crates/thornbridge-core/src/event.rs
+++ b/crates/thornbridge-core/src/event.rs
@@ -29,7 +29,8 @@
         request: ActionRequest,
     },
     /// A caller hung up; no answer is wanted any more.
-    CallerGone {
+    #[serde(rename = "CallerGone")]
+    CallerDisconnected {
         /// Driver's handle.
         caller: CallerId,
     },
@@ -108,7 +109,8 @@
     /// [`crate::Node::next_timeout`] has come.
     TimerDue,
     /// A planned stop was asked for: finish, then [`crate::Action::Stopped`].
-    StopAsked,
+    #[serde(rename = "StopAsked")]
+    StopRequested,
     /// The process was paused or its clock jumped by about this much.
     ClockJumped {
         /// Time that passed unseen.
--- a/crates/thornbridge-core/src/health/mod.rs
+++ b/crates/thornbridge-core/src/health/mod.rs
@@ -209,7 +209,7 @@
     /// Signals a back end's health to the other modules of this node.
     fn signal_health(&self, context: &mut Context<'_>, key: BackEndKey) {
         if let Some(monitored) = self.back_ends.get(&key) {
-            context.signal(Signal::BackEndHealth(self.record_of(monitored)));
+            context.signal(Signal::BackEndHealthUpdated(self.record_of(monitored)));
         }
     }
 }
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -142,8 +142,8 @@
                     refuse_leaving(context, caller, id);
                 }
             }
-            Event::CallerGone { caller } => {
-                if !self.queries.caller_gone(context, resources, caller) {
+            Event::CallerDisconnected { caller } => {
+                if !self.queries.caller_disconnected(context, resources, caller) {
                     self.action_engine.caller_gone(caller);
                 }
             }
@@ -167,7 +167,7 @@
             }
             Event::ProbeReplied { back_end, report } => {
                 self.router.probe_replied(context, &back_end, &report);
-                self.queries.load_reported(&back_end, &report);
+                self.queries.apply_load_report(&back_end, &report);
                 let health = &mut self.control.health;
                 health.probe_replied(context, &back_end, &report);
             }
@@ -196,7 +196,7 @@
             }
             Event::WatchEnded { watch, end } => self.control.watch_ended(context, watch, end),
             Event::TimerDue => self.timer_due(now),
-            Event::StopAsked => self.stop_asked(now),
+            Event::StopRequested => self.stop_requested(now),
             Event::ClockJumped { .. } => self.control.clock_jumped(context),
         }
         self.settle(now);
@@ -238,7 +238,7 @@
         self.router.timer_due(&mut context);
     }
 
-    fn stop_asked(&mut self, now: Timestamp) {
+    fn stop_requested(&mut self, now: Timestamp) {
         if self.lifecycle != Lifecycle::Running {
             return;
         }
@@ -332,7 +332,7 @@
         }
         for (request, refusal) in release.refuse {
             if self.queries.owns(request) {
-                self.queries.refuse_waiting(&mut context, request, refusal);
+                self.queries.refuse_queued(&mut context, request, refusal);
             } else {
                 self.action_engine
                     .refuse_waiting(&mut context, request, refusal);
@@ -343,7 +343,7 @@
     fn pass_on(&mut self, now: Timestamp, signal: Signal) {
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         match signal {
-            Signal::ConfigurationInForce(active) => {
+            Signal::ConfigurationActivated(active) => {
                 self.router.install(&mut context, &active);
                 self.queries.install(&active);
                 self.control.health.install(&mut context, &active);
@@ -356,9 +356,9 @@
                 self.control.members_changed(&mut context, &view);
                 self.action_engine.members_changed(&view);
             }
-            Signal::BackEndHealth(record) => {
+            Signal::BackEndHealthUpdated(record) => {
                 self.router.health_learnt(&mut context, &record);
-                self.queries.health_learnt(&record);
+                self.queries.apply_health_record(&record);
             }
             Signal::BackEndObserved(record) => {
                 self.control.health.apply_observation(&mut context, &record);
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -50,7 +50,7 @@
                     in_flight: limits.in_flight,
                     queued: limits.queued,
                     concurrency_limit: limits.limit as u32,
-                    snapshot: self.queries.snapshot_of(self.now, &service.name),
+                    snapshot: self.queries.current_snapshot(self.now, &service.name),
                 })
             })
             .collect()
--- a/crates/thornbridge-core/src/node/tests.rs
+++ b/crates/thornbridge-core/src/node/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the node as a whole: scripted scenarios, and arbitrary interleavings.
+//! Tests of a whole node: scripted scenarios and random interleavings.
 
-mod gathering;
+pub(crate) mod harness;
 mod interleaving;
-pub(crate) mod world;
+mod queries;
--- a/crates/thornbridge-core/src/node/tests/world.rs
+++ b/crates/thornbridge-core/src/node/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A node with a model of its back ends and callers, and an oracle over its answers.
+//! Test harness: a node with simulated back ends and callers. Checks each answer and refusal.
 
 use crate::configuration::ActiveConfiguration;
 use crate::node::Node;
@@ -21,16 +21,16 @@
     AttemptId, BackEndId, DocumentId, Generation, NodeId, RequestId, ShardId, SnapshotId,
 };
 
-/// What the only query service is called.
+/// Name of the only service.
 pub const SERVICE: &str = "search";
-/// Calls of a timer that may follow each other without time passing: work done in slices.
-const MOST_CALLS_AT_ONCE: u32 = 100;
-/// Hits that each shard gives.
+/// Maximum consecutive timer events at the same time: work may be split over several events.
+const MAX_CALLS_WITHOUT_PROGRESS: u32 = 100;
+/// Hits returned by each shard.
 pub const HITS_PER_SHARD: u32 = 2;
 
-/// Shape of the bundle in force.
+/// Parameters of a generated bundle.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct BundleSpec {
     pub generation: u64,
     pub shards: u32,
     pub replicas: u32,
@@ -41,7 +41,7 @@
     pub maximum_in_flight: u32,
 }
 
-impl Shape {
+impl BundleSpec {
     pub fn new(policy: CompletenessPolicy) -> Self {
         Self {
             generation: 1,
@@ -130,23 +130,23 @@
     }
 }
 
-/// What a caller got.
+/// Response to a caller.
 #[derive(Clone, Debug)]
-pub enum Given {
+pub enum Response {
     Answer(QueryAnswer),
     Refusal(Refusal),
 }
 
-/// What the oracle knows of one request.
+/// Observations of one request, for the checks of its response.
 #[derive(Debug, Default)]
-struct Known {
-    /// Attempts that left and did not end as certainly not run.
+struct RequestRecord {
+    /// Attempts sent, except those that certainly did not run.
     may_have_run: BTreeSet<AttemptId>,
-    /// Shards of which a true reply was delivered, by snapshot.
+    /// Shards whose hits were delivered, by snapshot.
     delivered: BTreeSet<(SnapshotId, ShardId)>,
 }
 
-/// How a model back end replies.
+/// Reply of a simulated back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     Hits,
@@ -154,7 +154,7 @@
     OtherAttempt,
     OtherRequest,
     OtherShard,
-    NotANumber,
+    NanScore,
     Done,
     Shed,
     Leaving,
@@ -165,13 +165,13 @@
 }
 
 impl Reply {
-    /// Everything but the hits that were asked for.
-    pub const NOT_HITS: [Self; 12] = [
+    /// All replies without valid hits.
+    pub const FAILURES: [Self; 12] = [
         Self::OtherSnapshot,
         Self::OtherAttempt,
         Self::OtherRequest,
         Self::OtherShard,
-        Self::NotANumber,
+        Self::NanScore,
         Self::Done,
         Self::Shed,
         Self::Leaving,
@@ -182,30 +182,30 @@
     ];
 }
 
-/// A node and everything around it.
-pub struct World {
+/// A node with simulated connections, back ends and callers.
+pub struct NodeHarness {
     pub node: Node,
     pub now: Timestamp,
     pub opening: Vec<ConnectionId>,
     pub open: BTreeSet<ConnectionId>,
-    /// Attempts that run, in the order they were sent.
+    /// Attempts in flight, in the order of sending.
     pub running: Vec<(ConnectionId, Attempt)>,
-    pub ended: Vec<Attempt>,
+    pub ended_attempts: Vec<Attempt>,
     pub cancels: u32,
     pub stopped: u32,
-    pub given: BTreeMap<CallerId, Given>,
-    pub asked: BTreeMap<CallerId, String>,
-    pub gone: BTreeSet<CallerId>,
+    pub responses: BTreeMap<CallerId, Response>,
+    pub sent_queries: BTreeMap<CallerId, String>,
+    pub disconnected: BTreeSet<CallerId>,
     addresses: BTreeMap<ConnectionId, BackEndId>,
-    known: BTreeMap<RequestId, Known>,
+    records: BTreeMap<RequestId, RequestRecord>,
 }
 
-impl World {
-    pub fn new(shape: &Shape) -> Self {
-        Self::with_parameters(shape, Parameters::default())
+impl NodeHarness {
+    pub fn new(spec: &BundleSpec) -> Self {
+        Self::with_parameters(spec, Parameters::default())
     }
 
-    pub fn with_parameters(shape: &Shape, parameters: Parameters) -> Self {
+    pub fn with_parameters(spec: &BundleSpec, parameters: Parameters) -> Self {
         let setup = NodeSetup {
             endpoint: PeerEndpoint {
                 node: NodeId(7),
@@ -220,43 +220,47 @@
             seed: 1,
             parameters,
         };
-        let mut world = Self {
+        let mut harness = Self {
             node: Node::new(setup),
             now: Timestamp::ZERO + Duration::from_secs(1),
             opening: Vec::new(),
             open: BTreeSet::new(),
             running: Vec::new(),
-            ended: Vec::new(),
+            ended_attempts: Vec::new(),
             cancels: 0,
             stopped: 0,
-            given: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            responses: BTreeMap::new(),
+            sent_queries: BTreeMap::new(),
+            disconnected: BTreeSet::new(),
             addresses: BTreeMap::new(),
-            known: BTreeMap::new(),
+            records: BTreeMap::new(),
         };
-        world.handle(Event::Started);
-        world.install(shape);
-        world
+        harness.handle(Event::Started);
+        harness.install(spec);
+        harness
     }
 
-    pub fn install(&mut self, shape: &Shape) {
-        let signal = Signal::ConfigurationInForce(shape.active_configuration());
+    pub fn install(&mut self, spec: &BundleSpec) {
+        let signal = Signal::ConfigurationActivated(spec.active_configuration());
         self.node.pass_on(self.now, signal);
         self.node.settle(self.now);
-        self.drain();
+        self.execute_actions();
     }
 
     pub fn handle(&mut self, event: Event) {
         self.node.handle(self.now, event);
-        self.drain();
+        self.execute_actions();
     }
 
-    /// Asks a query whose text is its caller's number.
-    pub fn ask(&mut self, timeout: Option<Duration>, minimum_coverage: Option<f64>) -> CallerId {
-        let caller = CallerId(self.asked.len() as u64 + 1);
+    /// Sends a query whose text contains the caller id.
+    pub fn send_query(
+        &mut self,
+        timeout: Option<Duration>,
+        minimum_coverage: Option<f64>,
+    ) -> CallerId {
+        let caller = CallerId(self.sent_queries.len() as u64 + 1);
         let text = format!("query {}", caller.0);
-        self.asked.insert(caller, text.clone());
+        self.sent_queries.insert(caller, text.clone());
         let request = QueryRequest {
             service: SERVICE.into(),
             query: text,
@@ -275,51 +279,58 @@
         }
     }
 
-    /// Lets time pass, with every timer on its time.
+    /// Advances the clock and fires each timer when due.
     pub fn advance(&mut self, by: Duration) {
         let until = self.now + by;
-        let mut calls_at_once = 0;
+        let mut calls_without_progress = 0;
         while let Some(next) = self.node.next_timeout().filter(|next| *next <= until) {
-            let moved = next > self.now;
+            let has_advanced = next > self.now;
             self.now = self.now.max(next);
             self.handle(Event::TimerDue);
-            calls_at_once = if moved { 0 } else { calls_at_once + 1 };
-            assert!(calls_at_once < MOST_CALLS_AT_ONCE, "a timer stays due");
+            calls_without_progress = if has_advanced {
+                0
+            } else {
+                calls_without_progress + 1
+            };
+            assert!(
+                calls_without_progress < MAX_CALLS_WITHOUT_PROGRESS,
+                "a timer remains due without progress"
+            );
         }
         self.now = until;
     }
 
-    /// The back end that a running attempt was sent to.
-    pub fn back_end_of(&self, index: usize) -> BackEndId {
+    /// Back end of an attempt in flight.
+    pub fn back_end_at(&self, index: usize) -> BackEndId {
         self.addresses[&self.running[index].0].clone()
     }
 
     pub fn reply(&mut self, index: usize, reply: Reply) {
         let (_, attempt) = self.running.remove(index);
-        let known = self.known.entry(attempt.request).or_default();
+        let record = self.records.entry(attempt.request).or_default();
         match reply {
             Reply::Shed | Reply::Leaving | Reply::NotHeld | Reply::Expired => {
-                known.may_have_run.remove(&attempt.attempt);
+                record.may_have_run.remove(&attempt.attempt);
             }
             Reply::Hits => {
                 let Work::Query { snapshot, .. } = &attempt.work else {
                     unreachable!("only queries are sent");
                 };
-                known.delivered.insert((snapshot.clone(), attempt.shard));
+                record.delivered.insert((snapshot.clone(), attempt.shard));
             }
             _ => {}
         }
         self.deliver(&attempt, reply);
-        self.ended.push(attempt);
+        self.ended_attempts.push(attempt);
     }
 
-    /// Delivers a reply once more, long after its attempt ended: nothing may come of it. An
-    /// attempt that was not sent may have been sent again meanwhile, and is left alone.
-    pub fn deliver_again(&mut self, index: usize, reply: Reply) {
-        let attempt = self.ended[index].clone();
-        let runs_again =
+    /// Delivers a duplicate reply of an ended attempt. Does nothing if the attempt is in flight
+    /// again, as one that was not sent may be.
+    pub fn redeliver_reply(&mut self, index: usize, reply: Reply) {
+        let attempt = self.ended_attempts[index].clone();
+        let is_running =
             |(_, running): &(ConnectionId, Attempt)| running.attempt == attempt.attempt;
-        if !self.running.iter().any(runs_again) {
+        if !self.running.iter().any(is_running) {
             self.deliver(&attempt, reply);
         }
     }
@@ -327,7 +338,7 @@
     fn deliver(&mut self, attempt: &Attempt, reply: Reply) {
         self.handle(Event::AttemptReplied {
             attempt: attempt.attempt,
-            reply: message(attempt, reply),
+            reply: back_end_reply(attempt, reply),
             load: Some(LoadReport::default()),
         });
     }
@@ -335,20 +346,20 @@
     pub fn fail(&mut self, index: usize, failure: AttemptFailure) {
         let (connection, attempt) = self.running.remove(index);
         if failure == AttemptFailure::NotSent {
-            let known = self.known.entry(attempt.request).or_default();
-            known.may_have_run.remove(&attempt.attempt);
+            let record = self.records.entry(attempt.request).or_default();
+            record.may_have_run.remove(&attempt.attempt);
         }
         self.handle(Event::AttemptFailed {
             attempt: attempt.attempt,
             failure,
         });
-        self.ended.push(attempt);
+        self.ended_attempts.push(attempt);
         if self.open.remove(&connection) {
             self.handle(Event::ConnectionLost { connection });
         }
     }
 
-    /// Loses an idle connection or one that is being opened.
+    /// Breaks an idle or opening connection.
     pub fn lose_connection(&mut self, index: usize) {
         let busy: BTreeSet<ConnectionId> = self.running.iter().map(|(id, _)| *id).collect();
         let candidates: Vec<ConnectionId> = self
@@ -365,18 +376,18 @@
         self.handle(Event::ConnectionLost { connection });
     }
 
-    pub fn hang_up(&mut self, caller: CallerId) {
-        self.gone.insert(caller);
-        self.handle(Event::CallerGone { caller });
+    pub fn disconnect_caller(&mut self, caller: CallerId) {
+        self.disconnected.insert(caller);
+        self.handle(Event::CallerDisconnected { caller });
     }
 
-    fn drain(&mut self) {
+    fn execute_actions(&mut self) {
         while let Some(action) = self.node.poll_action() {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::OpenConnection {
                 connection,
@@ -396,51 +407,62 @@
             } => {
                 assert!(
                     self.open.contains(&connection),
-                    "sent on a connection that is not open"
+                    "attempt sent on a connection that is not open"
                 );
                 let busy = self
                     .running
                     .iter()
                     .any(|(running, _)| *running == connection);
-                assert!(!busy, "sent on a connection that is busy");
-                let known = self.known.entry(attempt.request).or_default();
-                known.may_have_run.insert(attempt.attempt);
+                assert!(!busy, "attempt sent on a busy connection");
+                let record = self.records.entry(attempt.request).or_default();
+                record.may_have_run.insert(attempt.attempt);
                 self.running.push((connection, attempt));
             }
             Action::CancelAttempt { .. } => self.cancels += 1,
             Action::AnswerQuery { caller, answer } => {
                 self.check_answer(caller, &answer);
-                self.give(caller, Given::Answer(answer));
+                self.record_response(caller, Response::Answer(answer));
             }
             Action::Refuse { caller, refusal } => {
                 self.check_refusal(&refusal);
-                self.give(caller, Given::Refusal(refusal));
+                self.record_response(caller, Response::Refusal(refusal));
             }
             Action::Stopped => {
                 self.stopped += 1;
-                assert_eq!(self.waiting(), 0, "stopped with a caller waiting");
+                assert_eq!(
+                    self.unanswered_count(),
+                    0,
+                    "node stopped with unanswered callers"
+                );
             }
             _ => {}
         }
     }
 
-    fn give(&mut self, caller: CallerId, given: Given) {
-        assert!(self.asked.contains_key(&caller), "answered nobody");
+    fn record_response(&mut self, caller: CallerId, response: Response) {
         assert!(
-            !self.gone.contains(&caller),
-            "answered a caller that is gone"
+            self.sent_queries.contains_key(&caller),
+            "response to an unknown caller"
         );
-        let earlier = self.given.insert(caller, given);
-        assert!(earlier.is_none(), "answered twice");
+        assert!(
+            !self.disconnected.contains(&caller),
+            "response to a disconnected caller"
+        );
+        let previous = self.responses.insert(caller, response);
+        assert!(previous.is_none(), "second response to a caller");
     }
 
-    /// Callers that still wait.
-    pub fn waiting(&self) -> usize {
-        let answered = |caller| self.given.contains_key(caller) || self.gone.contains(caller);
-        self.asked.keys().filter(|caller| !answered(caller)).count()
+    /// Number of connected callers without a response.
+    pub fn unanswered_count(&self) -> usize {
+        let answered =
+            |caller| self.responses.contains_key(caller) || self.disconnected.contains(caller);
+        self.sent_queries
+            .keys()
+            .filter(|caller| !answered(caller))
+            .count()
     }
 
-    /// `one_snapshot`, `true_coverage` and `whole_answer_to_own_request`.
+    /// Checks that hits and coverage match the replies delivered for the answer's snapshot.
     fn check_answer(&self, caller: CallerId, answer: &QueryAnswer) {
         let coverage = &answer.coverage;
         let missing: BTreeSet<ShardId> = coverage.missing.iter().map(|shard| shard.shard).collect();
@@ -456,12 +478,12 @@
             if missing.contains(&shard) {
                 continue;
             }
-            let delivered = &self.known[&answer.request_id].delivered;
+            let delivered = &self.records[&answer.request_id].delivered;
             assert!(
                 delivered.contains(&(answer.snapshot.clone(), shard)),
-                "shard {shard} is counted without its reply"
+                "shard {shard} counted as answered without a reply"
             );
-            expected.extend(hits(&answer.snapshot, shard, &self.asked[&caller]));
+            expected.extend(hits(&answer.snapshot, shard, &self.sent_queries[&caller]));
         }
         expected.sort_by(|left, right| {
             let by_score = right.score.total_cmp(&left.score);
@@ -470,18 +492,21 @@
         assert_eq!(answer.hits, expected);
     }
 
-    /// `refused_means_not_run`.
+    /// Checks that a refusal as not run has no attempt that may have run.
     fn check_refusal(&self, refusal: &Refusal) {
         if refusal.executed == Executed::Unknown {
             return;
         }
-        let known = self.known.get(&refusal.request_id);
-        let ran = known
-            .is_some_and(|known| !known.may_have_run.is_empty() || !known.delivered.is_empty());
-        assert!(!ran, "refused as not run, but it may have run: {refusal:?}");
+        let record = self.records.get(&refusal.request_id);
+        let ran = record
+            .is_some_and(|record| !record.may_have_run.is_empty() || !record.delivered.is_empty());
+        assert!(
+            !ran,
+            "refused as not run, but an attempt may have run: {refusal:?}"
+        );
     }
 
-    /// Ends everything: each caller that is still there must have its answer.
+    /// Ends all attempts and stops the node. Every connected caller must have a response.
     pub fn finish(&mut self) {
         self.advance(Duration::from_secs(60));
         while !self.running.is_empty() {
@@ -491,14 +516,14 @@
             self.lose_connection(0);
         }
         self.advance(Duration::from_secs(60));
-        assert_eq!(self.waiting(), 0, "a caller was not answered");
-        self.handle(Event::StopAsked);
+        assert_eq!(self.unanswered_count(), 0, "a caller has no response");
+        self.handle(Event::StopRequested);
         self.advance(Duration::from_secs(60));
-        assert_eq!(self.stopped, 1, "the stop did not end");
+        assert_eq!(self.stopped, 1, "the node did not stop");
     }
 }
 
-/// What a shard of a snapshot holds for a query; scores differ between shards.
+/// Hits of a shard for a query.
 pub fn hits(snapshot: &SnapshotId, shard: ShardId, query: &str) -> Vec<Hit> {
     (0..HITS_PER_SHARD)
         .map(|rank| Hit {
@@ -509,14 +534,14 @@
         .collect()
 }
 
-fn message(attempt: &Attempt, reply: Reply) -> BackEndReply {
+fn back_end_reply(attempt: &Attempt, reply: Reply) -> BackEndReply {
     let Work::Query {
         snapshot, query, ..
     } = &attempt.work
     else {
         unreachable!("only queries are sent");
     };
-    let mut message = BackEndReply {
+    let mut back_end_reply = BackEndReply {
         request: attempt.request,
         attempt: attempt.attempt,
         shard: attempt.shard,
@@ -530,35 +555,35 @@
         Reply::OtherSnapshot => {
             let snapshot = SnapshotId::from("another");
             let hits = hits(&snapshot, attempt.shard, query);
-            message.outcome = ReplyOutcome::Hits { snapshot, hits };
+            back_end_reply.outcome = ReplyOutcome::Hits { snapshot, hits };
         }
-        Reply::OtherAttempt => message.attempt.0 += 1_000_000,
-        Reply::OtherRequest => message.request.sequence += 1_000_000,
-        Reply::OtherShard => message.shard.0 += 1,
-        Reply::NotANumber => {
+        Reply::OtherAttempt => back_end_reply.attempt.0 += 1_000_000,
+        Reply::OtherRequest => back_end_reply.request.sequence += 1_000_000,
+        Reply::OtherShard => back_end_reply.shard.0 += 1,
+        Reply::NanScore => {
             let hit = Hit {
                 document: "x".into(),
                 score: f64::NAN,
                 title: String::new(),
             };
-            message.outcome = ReplyOutcome::Hits {
+            back_end_reply.outcome = ReplyOutcome::Hits {
                 snapshot: snapshot.clone(),
                 hits: vec![hit],
             };
         }
         Reply::Done => {
             let outcome = String::new();
-            message.outcome = ReplyOutcome::Done { outcome };
+            back_end_reply.outcome = ReplyOutcome::Done { outcome };
         }
-        Reply::Shed => message.outcome = ReplyOutcome::Shed { retry_after_ms: 5 },
-        Reply::Leaving => message.outcome = ReplyOutcome::Leaving,
-        Reply::NotHeld => message.outcome = ReplyOutcome::NotHeld,
-        Reply::Expired => message.outcome = ReplyOutcome::Expired,
-        Reply::Cancelled => message.outcome = ReplyOutcome::Cancelled,
+        Reply::Shed => back_end_reply.outcome = ReplyOutcome::Shed { retry_after_ms: 5 },
+        Reply::Leaving => back_end_reply.outcome = ReplyOutcome::Leaving,
+        Reply::NotHeld => back_end_reply.outcome = ReplyOutcome::NotHeld,
+        Reply::Expired => back_end_reply.outcome = ReplyOutcome::Expired,
+        Reply::Cancelled => back_end_reply.outcome = ReplyOutcome::Cancelled,
         Reply::Failed => {
             let detail = "disk".to_owned();
-            message.outcome = ReplyOutcome::Failed { detail };
+            back_end_reply.outcome = ReplyOutcome::Failed { detail };
         }
     }
-    message
+    back_end_reply
 }
--- a/crates/thornbridge-core/src/node/tests/interleaving.rs
+++ b/crates/thornbridge-core/src/node/tests/interleaving.rs
@@ -1,6 +1,7 @@
-//! Arbitrary interleavings of queries, replies, failures, changes and a stop, against the oracle.
+//! Property test: random interleavings of queries, replies, failures, configuration changes and a
+//! stop.
 
-use super::world::{Reply, Shape, World};
+use super::harness::{BundleSpec, NodeHarness, Reply};
 use crate::{AttemptFailure, CallerId, Event};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -8,14 +9,14 @@
 use std::time::Duration;
 use thornbridge_config::bundle::CompletenessPolicy;
 
-/// One thing that happens. Indices are taken modulo what there is.
+/// A step of an interleaving. Indices are taken modulo the number of candidates.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Ask {
+    SendQuery {
         timeout_ms: Option<u64>,
         minimum_coverage: Option<f64>,
     },
-    HangUp(usize),
+    DisconnectCaller(usize),
     OpenAll,
     LoseConnection(usize),
     Reply(usize, Reply),
@@ -31,8 +32,8 @@
 }
 
 fn reply() -> impl Strategy<Value = Reply> {
-    let rare = prop::sample::select(Reply::NOT_HITS.to_vec());
-    prop_oneof![3 => Just(Reply::Hits), 2 => rare]
+    let failure_reply = prop::sample::select(Reply::FAILURES.to_vec());
+    prop_oneof![3 => Just(Reply::Hits), 2 => failure_reply]
 }
 
 fn failure() -> impl Strategy<Value = AttemptFailure> {
@@ -43,10 +44,10 @@
     ])
 }
 
-/// The steps do not depend on a state: any order of them is allowed.
-pub struct AnyOrder;
+/// Generates steps in any order.
+pub struct UnorderedSteps;
 
-impl ReferenceStateMachine for AnyOrder {
+impl ReferenceStateMachine for UnorderedSteps {
     type State = (CompletenessPolicy, u32);
     type Transition = Step;
 
@@ -59,14 +60,14 @@
     }
 
     fn transitions(_: &Self::State) -> BoxedStrategy<Self::Transition> {
-        let ask = (
+        let send_query = (
             prop::option::of(1..250u64),
             prop::option::of(prop::sample::select(vec![0.0, 0.3, 0.75, 1.0])),
         );
         let install = (1..6u32, 1..4u32, any::<bool>());
         prop_oneof![
-            6 => ask.prop_map(|(timeout_ms, minimum_coverage)| Step::Ask { timeout_ms, minimum_coverage }),
-            1 => (0..50usize).prop_map(Step::HangUp),
+            6 => send_query.prop_map(|(timeout_ms, minimum_coverage)| Step::SendQuery { timeout_ms, minimum_coverage }),
+            1 => (0..50usize).prop_map(Step::DisconnectCaller),
             8 => Just(Step::OpenAll),
             1 => (0..50usize).prop_map(Step::LoseConnection),
             20 => (0..50usize, reply()).prop_map(|(index, reply)| Step::Reply(index, reply)),
@@ -84,89 +85,90 @@
     }
 }
 
-/// A node under the steps. The oracle's checks are made in [`World`], at each answer.
-pub struct NodeUnderSteps;
+/// A node under test. [`NodeHarness`] checks each answer and refusal.
+pub struct NodeMachine;
 
-impl StateMachineTest for NodeUnderSteps {
-    type SystemUnderTest = (World, Shape);
-    type Reference = AnyOrder;
+impl StateMachineTest for NodeMachine {
+    type SystemUnderTest = (NodeHarness, BundleSpec);
+    type Reference = UnorderedSteps;
 
     fn init_test((policy, replicas): &(CompletenessPolicy, u32)) -> Self::SystemUnderTest {
-        let mut shape = Shape::new(*policy);
-        shape.replicas = *replicas;
-        shape.maximum_in_flight = 4;
-        shape.extra_load = 0.3;
-        (World::new(&shape), shape)
+        let mut spec = BundleSpec::new(*policy);
+        spec.replicas = *replicas;
+        spec.maximum_in_flight = 4;
+        spec.extra_load = 0.3;
+        (NodeHarness::new(&spec), spec)
     }
 
     fn apply(
-        (mut world, mut shape): Self::SystemUnderTest,
+        (mut harness, mut spec): Self::SystemUnderTest,
         _: &(CompletenessPolicy, u32),
         step: Step,
     ) -> Self::SystemUnderTest {
         match step {
-            Step::Ask {
+            Step::SendQuery {
                 timeout_ms,
                 minimum_coverage,
             } => {
-                world.ask(timeout_ms.map(Duration::from_millis), minimum_coverage);
+                harness.send_query(timeout_ms.map(Duration::from_millis), minimum_coverage);
             }
-            Step::HangUp(index) => {
-                let caller = CallerId(1 + index as u64 % world.asked.len().max(1) as u64);
-                let waits = world.asked.contains_key(&caller) && !world.given.contains_key(&caller);
-                if waits && !world.gone.contains(&caller) {
-                    world.hang_up(caller);
+            Step::DisconnectCaller(index) => {
+                let caller = CallerId(1 + index as u64 % harness.sent_queries.len().max(1) as u64);
+                let is_waiting = harness.sent_queries.contains_key(&caller)
+                    && !harness.responses.contains_key(&caller);
+                if is_waiting && !harness.disconnected.contains(&caller) {
+                    harness.disconnect_caller(caller);
                 }
             }
-            Step::OpenAll => world.open_all(),
-            Step::LoseConnection(index) => world.lose_connection(index),
-            Step::Reply(index, reply) if !world.running.is_empty() => {
-                world.reply(index % world.running.len(), reply);
+            Step::OpenAll => harness.open_all(),
+            Step::LoseConnection(index) => harness.lose_connection(index),
+            Step::Reply(index, reply) if !harness.running.is_empty() => {
+                harness.reply(index % harness.running.len(), reply);
             }
-            Step::ReplyAgain(index, reply) if !world.ended.is_empty() => {
-                world.deliver_again(index % world.ended.len(), reply);
+            Step::ReplyAgain(index, reply) if !harness.ended_attempts.is_empty() => {
+                harness.redeliver_reply(index % harness.ended_attempts.len(), reply);
             }
-            Step::Fail(index, failure) if !world.running.is_empty() => {
-                world.fail(index % world.running.len(), failure);
+            Step::Fail(index, failure) if !harness.running.is_empty() => {
+                harness.fail(index % harness.running.len(), failure);
             }
-            Step::Wait(millis) => world.advance(Duration::from_millis(millis)),
+            Step::Wait(millis) => harness.advance(Duration::from_millis(millis)),
             Step::Install {
                 shards,
                 replicas,
                 second,
             } => {
-                shape.generation += 1;
-                shape.shards = shards;
-                shape.replicas = replicas;
-                shape.snapshots = if second {
+                spec.generation += 1;
+                spec.shards = shards;
+                spec.replicas = replicas;
+                spec.snapshots = if second {
                     vec!["two", "one"]
                 } else {
                     vec!["one"]
                 };
-                world.install(&shape);
+                harness.install(&spec);
             }
-            Step::Stop => world.handle(Event::StopAsked),
+            Step::Stop => harness.handle(Event::StopRequested),
             Step::Reply(..) | Step::ReplyAgain(..) | Step::Fail(..) => {}
         }
-        (world, shape)
+        (harness, spec)
     }
 
-    fn check_invariants((world, _): &Self::SystemUnderTest, _: &(CompletenessPolicy, u32)) {
-        assert!(world.stopped <= 1);
-        let busy = world.node.queries.in_flight();
+    fn check_invariants((harness, _): &Self::SystemUnderTest, _: &(CompletenessPolicy, u32)) {
+        assert!(harness.stopped <= 1);
+        let busy = harness.node.queries.in_flight();
         assert_eq!(
             busy,
-            world.waiting(),
-            "queries in flight and callers waiting"
+            harness.unanswered_count(),
+            "queries in flight differ from unanswered callers"
         );
     }
 
-    fn teardown((mut world, _): Self::SystemUnderTest) {
-        world.finish();
+    fn teardown((mut harness, _): Self::SystemUnderTest) {
+        harness.finish();
     }
 }
 
-/// Few cases in CI, the same on each run; more by `THORNBRIDGE_LONG`.
+/// Fixed seed; more cases if `THORNBRIDGE_LONG` is set.
 fn configuration() -> Config {
     let long = std::env::var_os("THORNBRIDGE_LONG").is_some();
     Config {
@@ -181,5 +183,5 @@
     #![proptest_config(configuration())]
 
     #[test]
-    fn any_interleaving_keeps_what_must_always_hold(sequential 1..150 => NodeUnderSteps);
+    fn invariants_hold_under_any_interleaving(sequential 1..150 => NodeMachine);
 }
--- a/crates/thornbridge-core/src/query/answering.rs
+++ b/crates/thornbridge-core/src/query/answering.rs
@@ -22,7 +22,7 @@
     Answer,
     AnswerEarly,
     Refuse(RefusalReason),
-    CallerGone,
+    CallerDisconnected,
 }
 
 impl QueryEngine {
@@ -54,7 +54,7 @@
                 self.shared.counters.answered_early += 1;
                 self.answer(context, id, query.caller, &query.plan, gather);
             }
-            QueryEnd::CallerGone => self.shared.counters.abandoned += 1,
+            QueryEnd::CallerDisconnected => self.shared.counters.abandoned += 1,
             QueryEnd::Refuse(reason) => {
                 let refusal = coverage_refusal(id, reason, may_have_run, &query.plan, &gather);
                 let latency = context.now.since(query.plan.arrived);
@@ -124,7 +124,7 @@
 ) -> RequestOutcome {
     let half_response_latency = gather.half_answered_at().map(|at| at.since(run_started_at));
     let signal = match end {
-        QueryEnd::CallerGone => LoadSignal::None,
+        QueryEnd::CallerDisconnected => LoadSignal::None,
         _ if gather.overloaded() || half_response_latency.is_none() => LoadSignal::Overloaded,
         _ => LoadSignal::Normal,
     };
--- a/crates/thornbridge-core/src/query/mod.rs
+++ b/crates/thornbridge-core/src/query/mod.rs
@@ -101,17 +101,17 @@
     }
 
     /// Applies the snapshot list of a back end's load report.
-    pub fn load_reported(&mut self, back_end: &BackEndId, report: &LoadReport) {
-        self.catalogue.reported(back_end, report);
+    pub fn apply_load_report(&mut self, back_end: &BackEndId, report: &LoadReport) {
+        self.catalogue.apply_load_report(back_end, report);
     }
 
     /// Applies the snapshot list of a back end's health record.
-    pub fn health_learnt(&mut self, record: &HealthRecord) {
-        self.catalogue.health_learnt(record);
+    pub fn apply_health_record(&mut self, record: &HealthRecord) {
+        self.catalogue.apply_health_record(record);
     }
 
     /// Snapshot that a query of the service planned now would use.
-    pub fn snapshot_of(&self, now: Timestamp, service: &ServiceName) -> Option<SnapshotId> {
+    pub fn current_snapshot(&self, now: Timestamp, service: &ServiceName) -> Option<SnapshotId> {
         let service = self.active.as_ref()?.service(service)?;
         self.catalogue
             .choose(now, service)
@@ -182,7 +182,7 @@
         match admission {
             Admission::Run => self.run(context, resources, id),
             Admission::Queued => {}
-            Admission::Refuse(refusal) => self.refuse_waiting(context, id, refusal),
+            Admission::Refuse(refusal) => self.refuse_queued(context, id, refusal),
         }
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Refuses a queued query.
-    pub fn refuse_waiting(
+    pub fn refuse_queued(
         &mut self,
         context: &mut Context<'_>,
         id: RequestId,
@@ -251,7 +251,7 @@
         let result = attempt_result::classify(&mut finished, snapshot);
         if result.is_not_held() {
             self.catalogue
-                .denied(context.now, &finished.back_end, snapshot);
+                .record_not_held(context.now, &finished.back_end, snapshot);
         }
         let mut scatter = self.shared.scatter(context, resources, id, &query.plan);
         let failed = !matches!(result, attempt_result::AttemptResult::Hits(_));
@@ -335,7 +335,7 @@
     }
 
     /// Cancels the query of a disconnected caller. False if the caller has no query.
-    pub fn caller_gone(
+    pub fn caller_disconnected(
         &mut self,
         context: &mut Context<'_>,
         resources: &mut Resources<'_>,
@@ -345,7 +345,7 @@
             return false;
         };
         let id = self.request_id(sequence);
-        self.end(context, resources, id, QueryEnd::CallerGone);
+        self.end(context, resources, id, QueryEnd::CallerDisconnected);
         true
     }
 
--- a/crates/thornbridge-core/src/signal.rs
+++ b/crates/thornbridge-core/src/signal.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Debug)]
 pub enum Signal {
     /// From control: this configuration is in force from now on.
-    ConfigurationInForce(Arc<ActiveConfiguration>),
+    ConfigurationActivated(Arc<ActiveConfiguration>),
     /// From control: the members changed.
     MembersChanged(Arc<MemberView>),
     /// From health sharing: news of a back end, seen here or by a peer.
-    BackEndHealth(HealthRecord),
+    BackEndHealthUpdated(HealthRecord),
     /// From routing: this node saw, in a reply or failure, news worth spreading.
     BackEndObserved(HealthRecord),
 }
--- a/crates/thornbridge-core/src/snapshot/mod.rs
+++ b/crates/thornbridge-core/src/snapshot/mod.rs
@@ -1,7 +1,7 @@
-//! Which back ends hold which snapshots, and which snapshot a query is planned on.
+//! Catalogue of the snapshots that back ends hold, and choice of the snapshot of a query.
 //!
-//! A layout belongs to a snapshot: both are chosen together, once, when a query is planned, and
-//! stay for its whole life whatever is learned or rolled out meanwhile.
+//! Snapshot and layout are chosen together when a query is planned and do not change while the
+//! query runs.
 
 #[cfg(test)]
 mod tests;
@@ -16,110 +16,114 @@
 use thornbridge_proto::peer::health::HealthRecord;
 use thornbridge_proto::{BackEndId, LayoutId, ServiceName, SnapshotId};
 
-/// What every query planned on one service now has in common. Shared, never changed.
+/// Plan shared by the queries of one service. Immutable.
 #[derive(Debug)]
 pub struct ServicePlan {
-    /// Configuration it was made under.
+    /// Configuration under which the plan was made.
     pub configuration: Arc<ActiveConfiguration>,
     /// The service.
     pub service: ServiceName,
-    /// The snapshot that every hit comes from.
+    /// Snapshot of all hits.
     pub snapshot: SnapshotId,
-    /// The layout of that snapshot.
+    /// Layout of the snapshot.
     pub layout: LayoutId,
-    /// For each shard, from 0, the back ends believed to hold the snapshot.
+    /// Back ends assumed to hold the snapshot, by shard index.
     pub holders: Vec<Vec<BackEndId>>,
 }
 
-/// What is believed of one back end.
+/// Snapshots of one back end.
 #[derive(Debug, Default)]
-struct Holding {
-    /// The list it last gave; absent before any: then it is assumed to hold all.
-    listed: Option<Vec<SnapshotId>>,
-    /// Snapshots that it denied to hold, and until when that is believed over the list.
-    denied: Vec<(SnapshotId, Timestamp)>,
+struct BackEndSnapshots {
+    /// Last reported list; absent before the first, when all snapshots are assumed held.
+    reported: Option<Vec<SnapshotId>>,
+    /// Snapshots that replies reported as not held, and until when this overrides the list.
+    not_held: Vec<(SnapshotId, Timestamp)>,
 }
 
-impl Holding {
+impl BackEndSnapshots {
     fn holds(&self, now: Timestamp, snapshot: &SnapshotId) -> bool {
-        let denied = self
-            .denied
+        let not_held = self
+            .not_held
             .iter()
-            .any(|(denied, until)| denied == snapshot && now < *until);
-        let listed = self.listed.as_ref();
-        !denied && listed.is_none_or(|listed| listed.contains(snapshot))
+            .any(|(not_held, until)| not_held == snapshot && now < *until);
+        let reported = self.reported.as_ref();
+        !not_held && reported.is_none_or(|reported| reported.contains(snapshot))
     }
 }
 
 #[derive(Debug)]
 struct CachedPlan {
     plan: Arc<ServicePlan>,
-    /// When a denial that the plan rests on is over.
+    /// Expiry of the first "not held" reply that may affect the plan.
     valid_until: Timestamp,
 }
 
-/// Knowledge of holders, and the plan in use for each service.
+/// Snapshots of all back ends, and the cached plan of each service.
 #[derive(Debug)]
 pub struct SnapshotCatalogue {
     not_held_memory: Duration,
-    holdings: BTreeMap<BackEndId, Holding>,
+    back_ends: BTreeMap<BackEndId, BackEndSnapshots>,
     plans: BTreeMap<ServiceName, CachedPlan>,
 }
 
 impl SnapshotCatalogue {
-    /// Nothing is known; "not held" replies will be believed over reports for this long.
+    /// Creates an empty catalogue. "Not held" replies override reports for the given time.
     pub fn new(not_held_memory: Duration) -> Self {
         Self {
             not_held_memory,
-            holdings: BTreeMap::new(),
+            back_ends: BTreeMap::new(),
             plans: BTreeMap::new(),
         }
     }
 
-    /// Forgets back ends that a new configuration does not have.
+    /// Drops all plans, and the back ends that are not in the new configuration.
     pub fn install(&mut self, active: &ActiveConfiguration) {
         self.plans.clear();
-        self.holdings
+        self.back_ends
             .retain(|back_end, _| active.back_end(back_end).is_some());
     }
 
-    /// Takes a back end's own report.
-    pub fn reported(&mut self, back_end: &BackEndId, report: &LoadReport) {
+    /// Applies the snapshot list of a back end's load report.
+    pub fn apply_load_report(&mut self, back_end: &BackEndId, report: &LoadReport) {
         if let Some(snapshots) = &report.snapshots {
-            self.listed(back_end, snapshots);
+            self.set_reported(back_end, snapshots);
         }
     }
 
-    /// Takes news from health sharing.
-    pub fn health_learnt(&mut self, record: &HealthRecord) {
+    /// Applies the snapshot list of a health record.
+    pub fn apply_health_record(&mut self, record: &HealthRecord) {
         if let Some(snapshots) = &record.snapshots {
-            self.listed(&record.back_end, snapshots);
+            self.set_reported(&record.back_end, snapshots);
         }
     }
 
-    fn listed(&mut self, back_end: &BackEndId, snapshots: &[SnapshotId]) {
-        let holding = self.holdings.entry(back_end.clone()).or_default();
-        if holding.listed.as_deref() != Some(snapshots) {
-            holding.listed = Some(snapshots.to_vec());
+    fn set_reported(&mut self, back_end: &BackEndId, snapshots: &[SnapshotId]) {
+        let back_end_snapshots = self.back_ends.entry(back_end.clone()).or_default();
+        if back_end_snapshots.reported.as_deref() != Some(snapshots) {
+            back_end_snapshots.reported = Some(snapshots.to_vec());
             self.plans.clear();
         }
     }
 
-    /// A back end replied that it does not hold a snapshot.
-    pub fn denied(&mut self, now: Timestamp, back_end: &BackEndId, snapshot: &SnapshotId) {
+    /// Records a reply that a back end does not hold a snapshot.
+    pub fn record_not_held(&mut self, now: Timestamp, back_end: &BackEndId, snapshot: &SnapshotId) {
         let until = now + self.not_held_memory;
-        let holding = self.holdings.entry(back_end.clone()).or_default();
-        let was_held = holding.holds(now, snapshot);
-        holding.denied.retain(|(_, until)| now < *until);
-        holding.denied.retain(|(denied, _)| denied != snapshot);
-        holding.denied.push((snapshot.clone(), until));
+        let back_end_snapshots = self.back_ends.entry(back_end.clone()).or_default();
+        let was_held = back_end_snapshots.holds(now, snapshot);
+        back_end_snapshots
+            .not_held
+            .retain(|(_, until)| now < *until);
+        back_end_snapshots
+            .not_held
+            .retain(|(not_held, _)| not_held != snapshot);
+        back_end_snapshots.not_held.push((snapshot.clone(), until));
         if was_held {
             self.plans.clear();
         }
     }
 
-    /// The plan for queries that arrive now: the newest snapshot that every shard has a holder
-    /// of; where there is none, the best covered one, and of equals the newest.
+    /// Plan for queries that arrive now. Uses the newest snapshot with a holder for every shard; if
+    /// there is none, the one with the best coverage, newest first.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -142,13 +146,13 @@
         });
         let cached = CachedPlan {
             plan: Arc::clone(&plan),
-            valid_until: self.next_change(now, service),
+            valid_until: self.next_expiry(now, service),
         };
         self.plans.insert(service.name.clone(), cached);
         Some(plan)
     }
 
-    /// The snapshot, with its layout, that a plan made now would be of.
+    /// Snapshot and layout of a plan made now.
     pub fn choose<'a>(
         &self,
         now: Timestamp,
@@ -195,18 +199,18 @@
     }
 
     fn holds(&self, now: Timestamp, back_end: &BackEndId, snapshot: &SnapshotId) -> bool {
-        let holding = self.holdings.get(back_end);
-        holding.is_none_or(|holding| holding.holds(now, snapshot))
+        let back_end_snapshots = self.back_ends.get(back_end);
+        back_end_snapshots.is_none_or(|back_end_snapshots| back_end_snapshots.holds(now, snapshot))
     }
 
-    /// When the first denial by a back end of the service is over.
-    fn next_change(&self, now: Timestamp, service: &Service) -> Timestamp {
-        let holdings = service
+    /// Expiry of the earliest "not held" reply of a back end of the service.
+    fn next_expiry(&self, now: Timestamp, service: &Service) -> Timestamp {
+        let back_ends = service
             .back_ends
             .iter()
-            .filter_map(|back_end| self.holdings.get(&back_end.id));
-        holdings
-            .flat_map(|holding| &holding.denied)
+            .filter_map(|back_end| self.back_ends.get(&back_end.id));
+        back_ends
+            .flat_map(|back_end_snapshots| &back_end_snapshots.not_held)
             .map(|(_, until)| *until)
             .filter(|until| now < *until)
             .min()
--- a/crates/thornbridge-core/src/snapshot/tests.rs
+++ b/crates/thornbridge-core/src/snapshot/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::node::tests::world::Shape;
+use crate::node::tests::harness::BundleSpec;
 use thornbridge_config::bundle::CompletenessPolicy;
 
 fn at(millis: u64) -> Timestamp {
@@ -12,23 +12,23 @@
 }
 
 impl Fixture {
-    /// Two shards with two replicas each; snapshot `new` before `old`.
+    /// Two shards with two replicas each; snapshot `new` is preferred to `old`.
     fn new() -> Self {
-        let mut shape = Shape::new(CompletenessPolicy::CoverageFirst);
-        shape.shards = 2;
-        shape.snapshots = vec!["new", "old"];
+        let mut spec = BundleSpec::new(CompletenessPolicy::CoverageFirst);
+        spec.shards = 2;
+        spec.snapshots = vec!["new", "old"];
         Self {
-            active: shape.active_configuration(),
+            active: spec.active_configuration(),
             catalogue: SnapshotCatalogue::new(Duration::from_secs(1)),
         }
     }
 
-    fn hold(&mut self, back_end: &str, snapshots: &[&str]) {
+    fn report_snapshots(&mut self, back_end: &str, snapshots: &[&str]) {
         let report = LoadReport {
             snapshots: Some(snapshots.iter().map(|id| SnapshotId::from(*id)).collect()),
             ..LoadReport::default()
         };
-        self.catalogue.reported(&back_end.into(), &report);
+        self.catalogue.apply_load_report(&back_end.into(), &report);
     }
 
     fn plan(&mut self, now: Timestamp) -> Arc<ServicePlan> {
@@ -38,22 +38,22 @@
 }
 
 #[test]
-fn the_newest_snapshot_is_assumed_held_where_nothing_is_known() {
+fn newest_snapshot_is_assumed_held_without_reports() {
     let plan = Fixture::new().plan(at(0));
     assert_eq!(plan.snapshot.as_str(), "new");
     assert!(plan.holders.iter().all(|holders| holders.len() == 2));
 }
 
 #[test]
-fn a_snapshot_is_used_once_each_shard_has_a_holder() {
+fn snapshot_is_used_once_each_shard_has_holder() {
     let mut fixture = Fixture::new();
     for back_end in ["s0r0", "s0r1", "s1r0", "s1r1"] {
-        fixture.hold(back_end, &["old"]);
+        fixture.report_snapshots(back_end, &["old"]);
     }
     assert_eq!(fixture.plan(at(0)).snapshot.as_str(), "old");
-    fixture.hold("s0r1", &["new", "old"]);
+    fixture.report_snapshots("s0r1", &["new", "old"]);
     assert_eq!(fixture.plan(at(0)).snapshot.as_str(), "old");
-    fixture.hold("s1r0", &["new", "old"]);
+    fixture.report_snapshots("s1r0", &["new", "old"]);
     let plan = fixture.plan(at(0));
     assert_eq!(plan.snapshot.as_str(), "new");
     assert_eq!(plan.holders[0], vec![BackEndId::from("s0r1")]);
@@ -61,28 +61,30 @@
 }
 
 #[test]
-fn without_a_whole_snapshot_the_best_covered_is_used_and_of_equals_the_newest() {
+fn snapshot_with_best_coverage_is_used_newest_first() {
     let mut fixture = Fixture::new();
     for back_end in ["s0r0", "s0r1"] {
-        fixture.hold(back_end, &["new"]);
+        fixture.report_snapshots(back_end, &["new"]);
     }
     for back_end in ["s1r0", "s1r1"] {
-        fixture.hold(back_end, &["old"]);
+        fixture.report_snapshots(back_end, &["old"]);
     }
     assert_eq!(fixture.plan(at(0)).snapshot.as_str(), "new");
     for back_end in ["s0r0", "s0r1"] {
-        fixture.hold(back_end, &[]);
+        fixture.report_snapshots(back_end, &[]);
     }
     assert_eq!(fixture.plan(at(0)).snapshot.as_str(), "old");
 }
 
 #[test]
-fn a_denial_holds_for_its_time_and_then_the_report_again() {
+fn not_held_reply_overrides_report_until_expiry() {
     let mut fixture = Fixture::new();
-    fixture.hold("s0r0", &["new", "old"]);
-    let denied = BackEndId::from("s0r0");
-    fixture.catalogue.denied(at(0), &denied, &"new".into());
-    fixture.hold("s0r0", &["new"]);
+    fixture.report_snapshots("s0r0", &["new", "old"]);
+    let back_end = BackEndId::from("s0r0");
+    fixture
+        .catalogue
+        .record_not_held(at(0), &back_end, &"new".into());
+    fixture.report_snapshots("s0r0", &["new"]);
     assert_eq!(
         fixture.plan(at(999)).holders[0],
         vec![BackEndId::from("s0r1")]
@@ -91,11 +93,11 @@
 }
 
 #[test]
-fn a_plan_made_earlier_stays_as_it_is() {
+fn existing_plan_is_not_changed_by_reports() {
     let mut fixture = Fixture::new();
     let earlier = fixture.plan(at(0));
     for back_end in ["s0r0", "s0r1", "s1r0", "s1r1"] {
-        fixture.hold(back_end, &["old"]);
+        fixture.report_snapshots(back_end, &["old"]);
     }
     assert_eq!(earlier.snapshot.as_str(), "new");
     assert_eq!(earlier.holders[0].len(), 2);
--- a/crates/thornbridge-core/tests/control/cluster.rs
+++ b/crates/thornbridge-core/tests/control/cluster.rs
@@ -371,7 +371,7 @@
                         Context::new(self.now, &mut process.random, &mut actions, &mut signals);
                     process.control.members_changed(&mut context, &view);
                 }
-                Signal::ConfigurationInForce(active) => {
+                Signal::ConfigurationActivated(active) => {
                     let generation = active.record.generation;
                     let last = process.generations.last();
                     assert!(last.is_none_or(|last| *last < generation), "went back");
--- a/crates/thornbridge-core/tests/control/forgeries.rs
+++ b/crates/thornbridge-core/tests/control/forgeries.rs
@@ -65,7 +65,7 @@
         let told = |action: &&Action| {
             matches!(
                 action,
-                Action::StateChanged(StateChange::ConfigurationRefused { .. })
+                Action::StateChanged(StateChange::ConfigurationRejected { .. })
             )
         };
         self.refusals_told += actions.iter().filter(told).count();
--- a/crates/thornbridge-core/tests/members/cluster.rs
+++ b/crates/thornbridge-core/tests/members/cluster.rs
@@ -52,7 +52,7 @@
     pub largest_message: usize,
     pub health_bytes_sent: u64,
     pub probes_sent: u64,
-    /// Last [`Signal::BackEndHealth`] of each back end.
+    /// Last [`Signal::BackEndHealthUpdated`] of each back end.
     pub signalled_health: BTreeMap<BackEndId, HealthRecord>,
     random: Pcg64Mcg,
     timer_at: Timestamp,
@@ -410,12 +410,12 @@
                 Signal::MembersChanged(view) => {
                     process.parts.health.members_changed(&mut context, &view);
                 }
-                Signal::BackEndHealth(record) => {
+                Signal::BackEndHealthUpdated(record) => {
                     process
                         .signalled_health
                         .insert(record.back_end.clone(), record);
                 }
-                Signal::ConfigurationInForce(_) | Signal::BackEndObserved(_) => {}
+                Signal::ConfigurationActivated(_) | Signal::BackEndObserved(_) => {}
             }
         }
         for action in actions {
--- a/crates/thornbridge-node/src/driver.rs
+++ b/crates/thornbridge-node/src/driver.rs
@@ -197,7 +197,7 @@
     fn caller_gone(&mut self, caller: CallerId) {
         if self.callers.remove(&caller).is_some() {
             self.counters.callers_gone += 1;
-            self.handle(Event::CallerGone { caller });
+            self.handle(Event::CallerDisconnected { caller });
         }
     }
 
--- a/crates/thornbridge-node/src/logging.rs
+++ b/crates/thornbridge-node/src/logging.rs
@@ -6,11 +6,11 @@
 /// Writes a change of state.
 pub(crate) fn state_change(change: &StateChange) {
     match change {
-        StateChange::ConfigurationInForce {
+        StateChange::ConfigurationActivated {
             generation,
             version,
         } => log::info!(generation:%, version:%; "configuration in force"),
-        StateChange::ConfigurationRefused { reason } => {
+        StateChange::ConfigurationRejected { reason } => {
             log::warn!(reason:%; "configuration refused");
         }
         StateChange::MemberChanged { node, name, state } => member(node, name, *state),
--- a/crates/thornbridge-node/src/operators.rs
+++ b/crates/thornbridge-node/src/operators.rs
@@ -105,7 +105,7 @@
 
 /// Starts a planned stop, as SIGTERM does.
 async fn drain(inputs: InputSender) -> Response {
-    match inputs.event(Event::StopAsked).await {
+    match inputs.event(Event::StopRequested).await {
         Ok(()) => health(StatusCode::ACCEPTED, "leaving"),
         Err(_) => driver_stuck(),
     }
--- a/crates/thornbridge-node/src/running.rs
+++ b/crates/thornbridge-node/src/running.rs
@@ -160,7 +160,7 @@
     /// Asks for a planned stop; [`Self::wait`] tells when it is done.
     pub async fn stop(&self) {
         // A node that has already ended needs no stop.
-        let _ = self.inputs.event(Event::StopAsked).await;
+        let _ = self.inputs.event(Event::StopRequested).await;
     }
 
     /// Ends at once, as a crash would: no announcement, nothing finished.
--- a/crates/thornbridge-rehearsal/src/simulator/caller_steps.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/caller_steps.rs
@@ -154,7 +154,7 @@
         if run == Some(self.hosts[node].run) && self.hosts[node].pause.is_none() {
             self.hosts[node].unanswered = self.hosts[node].unanswered.saturating_sub(1);
             let caller = CallerId(position as u64);
-            self.handle(node, Event::CallerGone { caller });
+            self.handle(node, Event::CallerDisconnected { caller });
         }
     }
 
--- a/crates/thornbridge-rehearsal/src/simulator/host.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/host.rs
@@ -135,7 +135,7 @@
         | Event::ProbeReplied { .. }
         | Event::ProbeFailed { .. }
         | Event::ClockJumped { .. }
-        | Event::StopAsked => true,
+        | Event::StopRequested => true,
         _ => false,
     }
 }
--- a/crates/thornbridge-rehearsal/src/simulator/lives.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/lives.rs
@@ -227,7 +227,7 @@
             self.stopped_at_once(node);
             return;
         }
-        self.handle(node, Event::StopAsked);
+        self.handle(node, Event::StopRequested);
     }
 
     /// Ends a run of a node; `silent` where its machine is gone too.
--- a/crates/thornbridge-rehearsal/src/simulator/node_actions.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/node_actions.rs
@@ -294,7 +294,7 @@
     }
 
     fn state_changed(&mut self, node: usize, change: StateChange) {
-        if let StateChange::ConfigurationInForce {
+        if let StateChange::ConfigurationActivated {
             generation,
             version,
         } = change
--- a/crates/thornbridge-rehearsal/src/simulator/node_steps.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/node_steps.rs
@@ -175,7 +175,7 @@
         Event::Started => 1,
         Event::CallerQuery { caller, .. } => 2 + (caller.0 << 5),
         Event::CallerAction { caller, .. } => 3 + (caller.0 << 5),
-        Event::CallerGone { caller } => 4 + (caller.0 << 5),
+        Event::CallerDisconnected { caller } => 4 + (caller.0 << 5),
         Event::ConnectionOpened { connection } => 5 + (connection.0 << 5),
         Event::ConnectionLost { connection } => 6 + (connection.0 << 5),
         Event::AttemptReplied { attempt, .. } => 7 + (attempt.0 << 5),
@@ -188,7 +188,7 @@
         Event::WatchChanged { watch, .. } => 14 + (watch.0 << 5),
         Event::WatchEnded { watch, .. } => 15 + (watch.0 << 5),
         Event::TimerDue => 16,
-        Event::StopAsked => 17,
+        Event::StopRequested => 17,
         Event::ClockJumped { .. } => 18,
         #[allow(unreachable_patterns)]
         _ => 19,
