--- a/crates/thornbridge-core/src/configuration/active.rs
+++ b/crates/thornbridge-core/src/configuration/active.rs
@@ -1,4 +1,4 @@
-//! A configuration that was verified, ready for use on the query path.
+//! The active configuration: a verified bundle with lookup tables for the request path.
 
 use serde::Serialize;
 use snafu::{ResultExt, Snafu, ensure};
@@ -10,65 +10,65 @@
 use thornbridge_proto::{BackEndId, BundleVersion, Digest, ServiceName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A bundle is not the one of its record.
+/// A bundle does not match its record.
 #[derive(Debug, Snafu)]
 pub enum ActiveConfigurationError {
-    /// The content has another digest.
-    #[snafu(display("the bundle has digest {found}, version {version} has {stated}"))]
+    /// The digest differs.
+    #[snafu(display(
+        "the bundle has digest {found}, but the record of version {version} states {stated}"
+    ))]
     Digest {
-        /// Version of the record.
+        /// Version in the record.
         version: BundleVersion,
-        /// Of the content.
+        /// Digest of the content.
         found: Digest,
-        /// Of the record.
+        /// Digest in the record.
         stated: Digest,
     },
-    /// The content has another version.
-    #[snafu(display("the bundle is version {found}, not {stated}"))]
+    /// The version differs.
+    #[snafu(display("the bundle has version {found}, but its record states {stated}"))]
     Version {
-        /// Of the content.
+        /// Version in the content.
         found: BundleVersion,
-        /// Of the record.
+        /// Version in the record.
         stated: BundleVersion,
     },
-    /// The content is not a bundle.
-    #[snafu(display("version {version} is not a bundle: {source}"))]
+    /// The content cannot be decoded.
+    #[snafu(display("the content of version {version} is not a valid bundle: {source}"))]
     Content {
-        /// Version of the record.
+        /// Version in the record.
         version: BundleVersion,
         /// Cause.
         source: CanonicalError,
     },
 }
 
-/// One generation: its record, its bundle, and tables to look things up.
+/// One generation: record, bundle, and lookup tables.
 #[derive(Debug)]
 pub struct ActiveConfiguration {
-    /// What makes it the approved one.
+    /// Signed record of the approval.
     pub record: GenerationRecord,
-    /// The short form that answers carry.
+    /// Reference sent in responses to callers.
     pub reference: ConfigurationReference,
-    /// The short form that peers are told.
+    /// Summary sent to peers.
     pub summary: GenerationSummary,
-    /// The bundle: services, back ends and layouts sorted by name, on every node alike.
+    /// The bundle; services, back ends and layouts are sorted by name, the same on every node.
     pub bundle: Bundle,
-    /// The bundle's canonical sections, to be passed on to peers.
+    /// Canonical sections of the bundle, for deltas to peers.
     pub sections: SectionSet,
     services: HashMap<ServiceName, usize>,
     back_ends: HashMap<BackEndId, BackEnd>,
 }
 
 impl ActiveConfiguration {
-    /// Checks that the bundle is the one of the record. The record's signature is checked by the
-    /// caller.
+    /// Checks the bundle against the record. The caller has verified the record's signature.
     pub fn new(record: GenerationRecord, bundle: Bundle) -> Result<Self, ActiveConfigurationError> {
         let version = record.version.clone();
         let sections = SectionSet::of(&bundle).context(ContentSnafu { version })?;
         Self::from_sections(record, sections)
     }
 
-    /// Checks that the sections are those of the record's bundle. The record's signature is
-    /// checked by the caller.
+    /// Checks the sections against the record. The caller has verified the record's signature.
     pub fn from_sections(
         record: GenerationRecord,
         sections: SectionSet,
@@ -96,14 +96,14 @@
         })
     }
 
-    /// The service of a name.
+    /// A service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services
             .get(name)
             .map(|index| &self.bundle.services[*index])
     }
 
-    /// The back end of an id.
+    /// A back end by id.
     pub fn back_end(&self, id: &BackEndId) -> Option<&BackEnd> {
         self.back_ends.get(id)
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// The short form of a record.
+/// Generation and fingerprint of a record.
 pub fn summary_of(record: &GenerationRecord) -> GenerationSummary {
     GenerationSummary {
         generation: record.generation,
--- a/crates/thornbridge-core/src/configuration/mod.rs
+++ b/crates/thornbridge-core/src/configuration/mod.rs
@@ -1,8 +1,9 @@
-//! Which configuration is in force here, and how it is learnt and spread.
+//! The active configuration of a node, and its dissemination.
 //!
-//! A few nodes hold reader leases ([`crate::lease`]) and read the platform; all others learn from
-//! peers. Whatever the way, a generation is accepted only when it is newer than the one in force,
-//! its approval is signed by a trusted key, and its content has the approved digest.
+//! A few nodes hold reader leases ([`crate::lease`]) and read the platform; all others receive
+//! configurations from peers. From either source, a generation is activated only if it is newer
+//! than the active one, its approval is signed by a trusted key, and its content has the approved
+//! digest.
 
 mod active;
 mod gossip;
@@ -19,9 +20,9 @@
 use crate::membership::MemberView;
 use crate::signal::Signal;
 use crate::time::Timestamp;
-use gossip::{Gossip, Own};
-use platform_reader::{News, PlatformReader};
-use register::{Refusal, Register};
+use gossip::{Gossip, LocalState};
+use platform_reader::{PlatformReader, ReaderUpdate};
+use register::{Register, Rejection};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,14 +35,14 @@
 use thornbridge_proto::platform::{PlatformFailure, PlatformResponse, WatchChange, WatchEnd};
 use thornbridge_proto::{Digest, Generation};
 
-/// The configuration of one node: register, gossip, and, on a reader, the platform.
+/// Configuration state of one node: register, gossip and platform reader.
 #[derive(Debug)]
 pub struct ConfigurationRegister {
     register: Register,
     gossip: Gossip,
     reader: PlatformReader,
     counters: ConfigurationCounters,
-    last_refusal: Option<String>,
+    last_rejection: Option<String>,
 }
 
 impl ConfigurationRegister {
@@ -52,55 +53,57 @@
             gossip: Gossip::new(parameters.clone()),
             reader: PlatformReader::new(parameters),
             counters: ConfigurationCounters::default(),
-            last_refusal: None,
+            last_rejection: None,
         }
     }
 
-    /// The configuration in force here.
+    /// The active configuration; `None` before the first.
     pub fn active(&self) -> Option<&Arc<ActiveConfiguration>> {
         self.register.active()
     }
 
-    /// Counters.
+    /// Counters since the start of the node.
     pub fn counters(&self) -> &ConfigurationCounters {
         &self.counters
     }
 
-    /// Time since the platform answered a reader, as far as is known here.
+    /// Time since the last known platform contact of any reader.
     pub fn platform_age(&self, now: Timestamp) -> Option<Duration> {
         self.gossip.platform_age(now)
     }
 
-    /// Whether the platform answered this node last time; absent where it never asked.
+    /// Whether this node's last platform request succeeded; `None` before the first.
     pub fn platform_reachable(&self) -> Option<bool> {
         self.reader.reachable()
     }
 
-    /// Why there is no configuration yet, in words; absent when there is one.
+    /// Why no configuration is active; `None` when one is.
     pub fn unavailable_reason(&self) -> Option<String> {
         if self.active().is_some() {
             return None;
         }
-        if let Some(refusal) = &self.last_refusal {
-            return Some(format!("the last one seen was refused: {refusal}"));
+        if let Some(rejection) = &self.last_rejection {
+            return Some(format!(
+                "the last received configuration was rejected: {rejection}"
+            ));
         }
         let platform = match self.reader.reachable() {
-            Some(true) => "the platform answers and names none",
+            Some(true) => "the platform has no rollout",
             Some(false) => "the platform does not answer",
             None => "this node does not read the platform",
         };
-        let (peers, asked) = (self.gossip.peers_known(), self.counters.requests_sent);
+        let (peers, requests) = (self.gossip.peer_count(), self.counters.requests_sent);
         Some(format!(
-            "{platform}; {peers} peers known, asked {asked} times, none had one"
+            "{platform}; no configuration received after {requests} requests to {peers} peers"
         ))
     }
 
-    /// The platform was heard at this time, by this node or, as a peer tells, by another.
+    /// Records that the platform answered a reader at this time.
     pub fn record_platform_contact(&mut self, at: Timestamp) {
         self.gossip.record_platform_contact(at);
     }
 
-    /// Reads the platform from now on, or no more, as the node's reader lease says.
+    /// Starts or stops reading the platform when the reader lease is gained or lost.
     pub fn set_platform_reader(
         &mut self,
         context: &mut Context<'_>,
@@ -115,26 +118,26 @@
         self.reader.set_active(context, reading);
     }
 
-    /// The members changed.
+    /// Updates the gossip peers.
     pub fn members_changed(&mut self, now: Timestamp, view: &MemberView) {
-        let own = self.own();
-        self.gossip.members_changed(now, view, own);
+        let local = self.local_state();
+        self.gossip.members_changed(now, view, local);
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time at which [`Self::timer_due`] is due.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [self.gossip.next_timeout(), self.reader.next_timeout()];
         timeouts.into_iter().flatten().min()
     }
 
-    /// Announces, asks and reads what is due.
+    /// Sends the gossip messages and platform requests that are due.
     pub fn timer_due(&mut self, context: &mut Context<'_>, last_operation: &mut u64) {
         self.reader
             .timer_due(context, last_operation, &mut self.counters);
-        self.gossip_due(context);
+        self.run_gossip(context);
     }
 
-    /// Takes the platform's answer, if it is to this register's question.
+    /// Handles a platform reply, unless the operation is of another component.
     pub fn platform_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -142,19 +145,19 @@
         result: &Result<PlatformResponse, PlatformFailure>,
         last_operation: &mut u64,
     ) {
-        if !self.reader.awaits(operation) {
+        if !self.reader.is_in_flight(operation) {
             return;
         }
         if result.is_ok() {
             self.gossip.record_platform_contact(context.now);
         }
-        let news = self
+        let update = self
             .reader
             .platform_reply(context, result, &mut self.counters);
-        self.take_news(context, news, last_operation);
+        self.apply_reader_update(context, update, last_operation);
     }
 
-    /// A watch saw a change.
+    /// Handles a change reported by a watch.
     pub fn watch_changed(
         &mut self,
         context: &mut Context<'_>,
@@ -164,18 +167,18 @@
     ) {
         if self.reader.is_watching(watch) {
             self.gossip.record_platform_contact(context.now);
-            let news = self.reader.watch_changed(watch, change);
-            self.take_news(context, news, last_operation);
+            let update = self.reader.watch_changed(watch, change);
+            self.apply_reader_update(context, update, last_operation);
         }
     }
 
-    /// A watch ended.
+    /// Handles the end of a watch.
     pub fn watch_ended(&mut self, context: &mut Context<'_>, watch: WatchId, end: WatchEnd) {
         self.reader
             .watch_ended(context, watch, end, &mut self.counters);
     }
 
-    /// Takes a peer's message.
+    /// Handles a message from a peer.
     pub fn peer_message(
         &mut self,
         context: &mut Context<'_>,
@@ -186,9 +189,9 @@
             ConfigurationMessage::Announce {
                 summary,
                 platform_age_ms,
-            } => self.announced(context, from.address, summary, platform_age_ms),
+            } => self.handle_announcement(context, from.address, summary, platform_age_ms),
             ConfigurationMessage::Request { base, generation } => {
-                self.requested(context, from.address, base, generation);
+                self.handle_request(context, from.address, base, generation);
             }
             ConfigurationMessage::Delta {
                 record,
@@ -197,62 +200,62 @@
                 removed,
             } => {
                 let delta = SectionDelta { changed, removed };
-                self.delta_received(context, record, base, delta);
+                self.handle_delta(context, record, base, delta);
             }
             ConfigurationMessage::Whole { record, sections } => {
-                let result = self.checked(&record).and_then(|()| {
+                let result = self.check_record(&record).and_then(|()| {
                     let sections = SectionSet::received(sections);
                     self.register.accept_sections(record, sections)
                 });
-                self.conclude(context, result);
+                self.finish_activation(context, result);
             }
         }
-        self.gossip_due(context);
+        self.run_gossip(context);
     }
 
-    fn own(&self) -> Own {
-        Own {
+    fn local_state(&self) -> LocalState {
+        LocalState {
             summary: self.register.summary(),
             digest: self.register.digest(),
         }
     }
 
-    fn gossip_due(&mut self, context: &mut Context<'_>) {
-        let own = self.own();
-        self.gossip.timer_due(context, own, &mut self.counters);
+    fn run_gossip(&mut self, context: &mut Context<'_>) {
+        let local = self.local_state();
+        self.gossip.timer_due(context, local, &mut self.counters);
     }
 
-    fn checked(&mut self, record: &GenerationRecord) -> Result<(), Refusal> {
+    fn check_record(&mut self, record: &GenerationRecord) -> Result<(), Rejection> {
         self.register.check(record, &mut self.counters)
     }
 
-    fn take_news(
+    fn apply_reader_update(
         &mut self,
         context: &mut Context<'_>,
-        news: Option<News>,
+        update: Option<ReaderUpdate>,
         last_operation: &mut u64,
     ) {
-        match news {
-            Some(News::Record(record)) => match self.checked(&record) {
+        match update {
+            Some(ReaderUpdate::Record(record)) => match self.check_record(&record) {
                 Ok(()) => {
                     self.reader
                         .fetch(context, record, last_operation, &mut self.counters);
                 }
-                Err(refusal) => self.refuse(context, &refusal),
+                Err(rejection) => self.reject(context, &rejection),
             },
-            Some(News::Bundle(record, published)) => {
+            Some(ReaderUpdate::Bundle(record, published)) => {
                 let result = self
-                    .checked(&record)
+                    .check_record(&record)
                     .and_then(|()| self.register.accept_bundle(record, published.bundle));
-                self.conclude(context, result);
+                self.finish_activation(context, result);
             }
-            Some(News::Malformed(reason)) => self.tell_refused(context, reason),
+            Some(ReaderUpdate::Malformed(reason)) => self.reject_with_reason(context, reason),
             None => {}
         }
-        self.gossip_due(context);
+        self.run_gossip(context);
     }
 
-    fn announced(
+    fn handle_announcement(
         &mut self,
         context: &mut Context<'_>,
         from: SocketAddr,
@@ -261,52 +264,53 @@
     ) {
         let now = context.now;
         let age = platform_age_ms.map(Duration::from_millis);
-        let own = self.own();
-        if self.gossip.has_news_for(now, own, theirs, age) {
-            self.gossip.announce(context, from, own, &mut self.counters);
+        let local = self.local_state();
+        if self.gossip.is_peer_behind(now, local, theirs, age) {
+            self.gossip
+                .announce(context, from, local, &mut self.counters);
         }
         if let Some(age) = age {
-            self.gossip.platform_heard_by_peer(now - age);
+            self.gossip.observe_peer_platform_contact(now - age);
         }
         let Some(theirs) = theirs else {
             return;
         };
-        if let Err(refusal) = self.register.check_same(theirs) {
-            self.refuse(context, &refusal);
+        if let Err(rejection) = self.register.check_conflict(theirs) {
+            self.reject(context, &rejection);
         }
         if self.register.generation() < Some(theirs.generation) {
-            self.gossip.heard_of(now, theirs.generation, from);
+            self.gossip.observe_generation(now, theirs.generation, from);
         }
     }
 
-    fn requested(
+    fn handle_request(
         &mut self,
         context: &mut Context<'_>,
         from: SocketAddr,
         base: Option<Digest>,
         theirs: Option<Generation>,
     ) {
-        let own = self.register.generation();
+        let local = self.register.generation();
         if let Some(theirs) = theirs
-            && own < Some(theirs)
+            && local < Some(theirs)
         {
-            self.gossip.heard_of(context.now, theirs, from);
+            self.gossip.observe_generation(context.now, theirs, from);
         }
-        if own <= theirs {
+        if local <= theirs {
             return;
         }
         if let Some(delta) = base.and_then(|base| self.register.delta_from(base)) {
             self.counters.deltas_sent += 1;
             gossip::send(context, from, delta);
-        } else if !self.gossip.may_send_whole(context.now) {
+        } else if !self.gossip.admit_whole_bundle(context.now) {
             self.counters.wholes_withheld += 1;
-        } else if let Some(whole) = self.register.whole() {
+        } else if let Some(whole) = self.register.whole_bundle() {
             self.counters.wholes_sent += 1;
             gossip::send(context, from, whole);
         }
     }
 
-    fn delta_received(
+    fn handle_delta(
         &mut self,
         context: &mut Context<'_>,
         record: GenerationRecord,
@@ -314,28 +318,28 @@
         delta: SectionDelta,
     ) {
         let generation = record.generation;
-        let checked = self.checked(&record);
+        let checked = self.check_record(&record);
         let valid = checked.is_ok();
         let result = checked.and_then(|()| self.register.accept_delta(record, base, delta));
         if valid && result.is_err() {
             self.counters.deltas_failed += 1;
             self.gossip.delta_failed(context.now, generation);
         }
-        self.conclude(context, result);
+        self.finish_activation(context, result);
     }
 
-    fn conclude(
+    fn finish_activation(
         &mut self,
         context: &mut Context<'_>,
-        result: Result<Arc<ActiveConfiguration>, Refusal>,
+        result: Result<Arc<ActiveConfiguration>, Rejection>,
     ) {
         match result {
-            Ok(active) => self.install(context, active),
-            Err(refusal) => self.refuse(context, &refusal),
+            Ok(active) => self.activate(context, active),
+            Err(rejection) => self.reject(context, &rejection),
         }
     }
 
-    fn install(&mut self, context: &mut Context<'_>, active: Arc<ActiveConfiguration>) {
+    fn activate(&mut self, context: &mut Context<'_>, active: Arc<ActiveConfiguration>) {
         self.counters.accepted += 1;
         let generation = active.record.generation;
         context.act(Action::StateChanged(StateChange::ConfigurationActivated {
@@ -343,34 +347,35 @@
             version: active.record.version.clone(),
         }));
         context.signal(Signal::ConfigurationActivated(active));
-        self.gossip.accepted(context.now, generation);
+        self.gossip.generation_activated(context.now, generation);
     }
 
-    /// An older generation is no fault: a peer or a stale reader is behind. Everything else is.
-    fn refuse(&mut self, context: &mut Context<'_>, refusal: &Refusal) {
-        match refusal {
-            Refusal::NotNewer { .. } | Refusal::OtherBase { .. } => self.counters.stale += 1,
-            Refusal::Conflicting { generation } => {
+    /// Counts and reports a rejection. Older generations are expected from stale peers and readers,
+    /// and are only counted.
+    fn reject(&mut self, context: &mut Context<'_>, rejection: &Rejection) {
+        match rejection {
+            Rejection::NotNewer { .. } | Rejection::OtherBase { .. } => self.counters.stale += 1,
+            Rejection::Conflicting { generation } => {
                 self.counters.conflicting += 1;
                 self.counters.refused += 1;
                 if self.register.is_first_conflict(*generation) {
-                    tell(context, refusal.to_string());
+                    report_rejection(context, rejection.to_string());
                 }
             }
-            Refusal::Approval { .. } | Refusal::Content { .. } => {
-                self.tell_refused(context, refusal.to_string());
+            Rejection::Approval { .. } | Rejection::Content { .. } => {
+                self.reject_with_reason(context, rejection.to_string());
             }
         }
     }
 
-    fn tell_refused(&mut self, context: &mut Context<'_>, reason: String) {
+    fn reject_with_reason(&mut self, context: &mut Context<'_>, reason: String) {
         self.counters.refused += 1;
-        self.last_refusal = Some(reason.clone());
-        tell(context, reason);
+        self.last_rejection = Some(reason.clone());
+        report_rejection(context, reason);
     }
 }
 
-fn tell(context: &mut Context<'_>, reason: String) {
+fn report_rejection(context: &mut Context<'_>, reason: String) {
     context.act(Action::StateChanged(StateChange::ConfigurationRejected {
         reason,
     }));
--- a/crates/thornbridge-core/src/configuration/parameters.rs
+++ b/crates/thornbridge-core/src/configuration/parameters.rs
@@ -1,46 +1,42 @@
-//! Tunable values and counters of dissemination.
+//! Parameters and counters of configuration dissemination.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values of dissemination.
+/// Parameters of dissemination.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ConfigurationParameters {
-    /// Peers that a new generation is announced to in each round.
+    /// Peers that a new generation is announced to in each push round.
     pub push_fanout: usize,
-    /// Times after acceptance at which a generation is announced. Several rounds make up for lost
-    /// messages and dead peers; the later ones are far apart, as few nodes are left then.
+    /// Times of the push rounds after activation. Later rounds are further apart, since few nodes
+    /// are left to reach.
     pub push_rounds: Vec<Duration>,
-    /// Of the peers drawn, one in this many is drawn from all regions, the others from the own one:
-    /// the link between regions is slower and shared.
+    /// One in this many peers is drawn from all regions, the others from the own region, whose
+    /// links are faster.
     pub one_remote_in: u32,
-    /// Time between announcements to one random peer when nothing changes.
+    /// Mean interval between anti-entropy announcements to a random peer.
     pub anti_entropy_interval: Duration,
-    /// How much fresher the own news of the platform must be to be worth an answer.
+    /// A peer is answered if its last platform contact is older than this node's by at least this.
     pub platform_news_gap: Duration,
-    /// Time between a reader's announcements to the nodes next in rank.
+    /// Interval between a reader's announcements to its standby readers.
     pub standby_interval: Duration,
-    /// First time to wait for a configuration that was asked for; doubled each time.
+    /// Timeout of the first pull request; doubled after each one.
     pub pull_timeout: Duration,
-    /// Longest time to wait for a configuration that was asked for.
+    /// Longest timeout of a pull request.
     pub pull_timeout_maximum: Duration,
-    /// The same for a node that has no configuration yet: it serves nobody until it has one, and
-    /// the peer asked may have none either.
+    /// Longest timeout of a pull request while the node has no configuration and cannot serve.
     pub first_pull_timeout_maximum: Duration,
-    /// Generations whose section digests are kept, to answer with deltas: at 890 changes a day, more
-    /// than an hour and a half, so that a region that was split off for an hour needs no whole
-    /// bundles.
+    /// Replaced generations whose section digests are kept as bases for deltas.
     pub kept_generations: usize,
-    /// Whole bundles that a node sends within a second at most: bounds what a heap of new nodes
-    /// can ask of one peer. A node refused asks another.
+    /// Rate limit on whole bundles sent to peers. A node that gets none requests one elsewhere.
     pub whole_bundles_per_second: u32,
-    /// Time between a reader's reads of the register beside its watch: bounds how late a change is
-    /// seen when a watch is silently dead.
+    /// Interval between a reader's reads of the rollout register; bounds the delay of a change when
+    /// the watch is silent.
     pub check_interval: Duration,
-    /// First pause of a reader after a failure; doubled each time, with jitter.
+    /// Initial backoff of a reader after a failed request; doubled each time, with jitter.
     pub reader_pause: Duration,
-    /// Longest pause of a reader.
+    /// Longest backoff of a reader.
     pub reader_pause_maximum: Duration,
 }
 
@@ -70,34 +66,34 @@
 /// Counters of dissemination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationCounters {
-    /// Generations accepted.
+    /// Generations activated.
     pub accepted: u64,
-    /// Configurations refused: bad signature, digest, content, or a conflicting record.
+    /// Configurations rejected: invalid signature, digest or content, or a conflicting record.
     pub refused: u64,
-    /// Of these, records that claim the generation in force with another content.
+    /// Rejected records of the active generation with different content.
     pub conflicting: u64,
-    /// Older generations seen and left alone.
+    /// Older generations and deltas to another base, ignored.
     pub stale: u64,
-    /// Signatures checked.
+    /// Signatures verified.
     pub signatures_checked: u64,
     /// Announcements sent.
     pub announcements_sent: u64,
-    /// Requests sent to peers.
+    /// Pull requests sent to peers.
     pub requests_sent: u64,
-    /// Deltas sent.
+    /// Deltas sent to peers.
     pub deltas_sent: u64,
-    /// Whole bundles sent.
+    /// Whole bundles sent to peers.
     pub wholes_sent: u64,
-    /// Whole bundles not sent, because too many were.
+    /// Whole bundles not sent because of the rate limit.
     pub wholes_withheld: u64,
     /// Deltas that did not apply.
     pub deltas_failed: u64,
-    /// Requests that no peer answered in time.
+    /// Pull requests that timed out.
     pub requests_unanswered: u64,
     /// Requests sent to the platform.
     pub platform_requests: u64,
-    /// Requests that the platform did not answer or refused.
+    /// Requests to the platform that failed.
     pub platform_failures: u64,
-    /// Watches opened.
+    /// Platform watches opened.
     pub watches_opened: u64,
 }
--- a/crates/thornbridge-core/src/configuration/peers.rs
+++ b/crates/thornbridge-core/src/configuration/peers.rs
@@ -1,4 +1,4 @@
-//! Which peers are told and asked: random ones, mostly of the own region.
+//! Random selection of gossip peers, mostly from the own region.
 
 use crate::membership::MemberView;
 use rand::Rng;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use thornbridge_proto::peer::membership::MemberState;
 
-/// The other nodes that a configuration is exchanged with. Nodes that are leaving still serve.
+/// Addresses of all other nodes that are not dead; leaving nodes included.
 #[derive(Debug, Default)]
 pub(super) struct Peers {
     all: Vec<SocketAddr>,
@@ -37,7 +37,7 @@
         self.all.is_empty()
     }
 
-    /// One peer, from all regions once in `one_remote_in` draws.
+    /// Draws one peer: from all regions with probability 1/`one_remote_in`, else from the own one.
     pub(super) fn draw(&self, random: &mut impl Rng, one_remote_in: u32) -> Option<SocketAddr> {
         let anywhere = random.random_ratio(1, one_remote_in.max(1));
         let pool = if anywhere || self.own_region.is_empty() {
--- a/crates/thornbridge-core/src/configuration/platform_reader.rs
+++ b/crates/thornbridge-core/src/configuration/platform_reader.rs
@@ -1,7 +1,7 @@
-//! A reader of the platform: lists the rollout register, watches it, and fetches the bundle.
+//! Platform reader: lists and watches the rollout register, and fetches the bundle it names.
 //!
-//! Runs only while the node holds a reader's lease. A watch that is silent is not trusted: the
-//! register is read again now and then.
+//! Runs only while the node holds a reader lease. The register is also read periodically, since a
+//! dead watch can be silent.
 
 use super::parameters::{ConfigurationCounters, ConfigurationParameters};
 use crate::context::Context;
@@ -16,29 +16,29 @@
     WatchChange, WatchEnd,
 };
 
-/// What a reader learnt.
+/// Result of a read or a watch.
 #[derive(Debug)]
-pub(super) enum News {
-    /// The register names this generation.
+pub(super) enum ReaderUpdate {
+    /// Record of the generation in the rollout register.
     Record(GenerationRecord),
-    /// The bundle of this generation.
+    /// A generation with its published bundle.
     Bundle(GenerationRecord, Box<PublishedBundle>),
-    /// An object in the store is not what it should be.
+    /// An object in the store is missing or cannot be decoded.
     Malformed(String),
 }
 
 #[derive(Debug)]
-enum Asked {
+enum ReaderRequest {
     Register,
     Bundle(GenerationRecord),
 }
 
-/// The reading side of one node.
+/// Reader state of one node.
 #[derive(Debug)]
 pub(super) struct PlatformReader {
     parameters: ConfigurationParameters,
     active: bool,
-    asked: Option<(OperationId, Asked)>,
+    in_flight: Option<(OperationId, ReaderRequest)>,
     watch: Option<WatchId>,
     last_watch: u64,
     next_check: Timestamp,
@@ -51,7 +51,7 @@
         Self {
             parameters,
             active: false,
-            asked: None,
+            in_flight: None,
             watch: None,
             last_watch: 0,
             next_check: Timestamp::ZERO,
@@ -64,18 +64,18 @@
         self.active
     }
 
-    /// Whether the platform answered last time; absent where this node never asked.
+    /// Whether the last request succeeded; `None` before the first.
     pub(super) fn reachable(&self) -> Option<bool> {
         self.reachable
     }
 
-    /// Begins or ends reading, as the lease is gained or lost.
+    /// Starts or stops reading when the lease is gained or lost.
     pub(super) fn set_active(&mut self, context: &mut Context<'_>, active: bool) {
         if active == self.active {
             return;
         }
         self.active = active;
-        self.asked = None;
+        self.in_flight = None;
         self.failures = 0;
         self.next_check = context.now;
         if let Some(watch) = self.watch.take() {
@@ -84,8 +84,8 @@
     }
 
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
-        let waits = self.active && self.asked.is_none();
-        waits.then_some(self.next_check)
+        let idle = self.active && self.in_flight.is_none();
+        idle.then_some(self.next_check)
     }
 
     pub(super) fn timer_due(
@@ -94,17 +94,17 @@
         last_operation: &mut u64,
         counters: &mut ConfigurationCounters,
     ) {
-        if !self.active || self.asked.is_some() || context.now < self.next_check {
+        if !self.active || self.in_flight.is_some() || context.now < self.next_check {
             return;
         }
         let request = PlatformRequest::List {
             kind: ObjectKind::Rollout,
         };
-        let operation = ask(context, last_operation, request, counters);
-        self.asked = Some((operation, Asked::Register));
+        let operation = send_request(context, last_operation, request, counters);
+        self.in_flight = Some((operation, ReaderRequest::Register));
     }
 
-    /// Asks for the bundle of a record that is worth having.
+    /// Requests the bundle of a record.
     pub(super) fn fetch(
         &mut self,
         context: &mut Context<'_>,
@@ -116,56 +116,59 @@
             kind: ObjectKind::Bundle,
             name: record.version.as_str().to_owned(),
         };
-        let operation = ask(context, last_operation, request, counters);
-        self.asked = Some((operation, Asked::Bundle(record)));
+        let operation = send_request(context, last_operation, request, counters);
+        self.in_flight = Some((operation, ReaderRequest::Bundle(record)));
     }
 
-    /// Whether the operation is one of this reader's.
-    pub(super) fn awaits(&self, operation: OperationId) -> bool {
-        let asked = self.asked.as_ref();
-        asked.is_some_and(|(asked, _)| *asked == operation)
+    /// Whether the operation is the request in flight.
+    pub(super) fn is_in_flight(&self, operation: OperationId) -> bool {
+        let in_flight = self.in_flight.as_ref();
+        in_flight.is_some_and(|(in_flight, _)| *in_flight == operation)
     }
 
-    /// Takes the answer to the outstanding question.
+    /// Handles the reply to the request in flight.
     pub(super) fn platform_reply(
         &mut self,
         context: &mut Context<'_>,
         result: &Result<PlatformResponse, PlatformFailure>,
         counters: &mut ConfigurationCounters,
-    ) -> Option<News> {
-        let (_, asked) = self.asked.take()?;
-        let news = match (asked, result) {
-            (Asked::Register, Ok(PlatformResponse::Objects { objects, version })) => {
-                self.watch_from(context, *version, counters);
+    ) -> Option<ReaderUpdate> {
+        let (_, request) = self.in_flight.take()?;
+        let update = match (request, result) {
+            (ReaderRequest::Register, Ok(PlatformResponse::Objects { objects, version })) => {
+                self.open_watch(context, *version, counters);
                 let register = objects.iter().find(|object| object.name == ROLLOUT_NAME);
-                register.map(register_news)
+                register.map(register_update)
             }
-            (Asked::Bundle(record), Ok(PlatformResponse::Object(object))) => {
-                Some(bundle_news(record, object.as_ref()))
+            (ReaderRequest::Bundle(record), Ok(PlatformResponse::Object(object))) => {
+                Some(bundle_update(record, object.as_ref()))
             }
             (_, _) => {
-                self.failed(context, counters);
+                self.record_failure(context, counters);
                 return None;
             }
         };
-        self.succeeded(context);
-        news
+        self.record_success(context);
+        update
     }
 
-    /// Takes a change seen by a watch.
-    pub(super) fn watch_changed(&mut self, watch: WatchId, change: &WatchChange) -> Option<News> {
+    /// Handles a change reported by a watch.
+    pub(super) fn watch_changed(
+        &mut self,
+        watch: WatchId,
+        change: &WatchChange,
+    ) -> Option<ReaderUpdate> {
         let register = change.object.kind == ObjectKind::Rollout && !change.deleted;
         let current = self.watch == Some(watch);
-        (register && current).then(|| register_news(&change.object))
+        (register && current).then(|| register_update(&change.object))
     }
 
-    /// Whether the watch is this reader's.
+    /// Whether the watch is the reader's current one.
     pub(super) fn is_watching(&self, watch: WatchId) -> bool {
         self.watch == Some(watch)
     }
 
-    /// A watch ended: list and watch again, at once where the history was compacted, else after a
-    /// pause.
+    /// Schedules a new list and watch: at once after a compaction, else after a backoff.
     pub(super) fn watch_ended(
         &mut self,
         context: &mut Context<'_>,
@@ -179,11 +182,11 @@
         self.watch = None;
         match end {
             WatchEnd::Compacted => self.next_check = context.now,
-            WatchEnd::Lost | WatchEnd::TooManyReaders => self.failed(context, counters),
+            WatchEnd::Lost | WatchEnd::TooManyReaders => self.record_failure(context, counters),
         }
     }
 
-    fn watch_from(
+    fn open_watch(
         &mut self,
         context: &mut Context<'_>,
         from: ResourceVersion,
@@ -203,24 +206,24 @@
         });
     }
 
-    fn succeeded(&mut self, context: &mut Context<'_>) {
+    fn record_success(&mut self, context: &mut Context<'_>) {
         self.failures = 0;
         self.next_check = context.now + self.parameters.check_interval;
         self.set_reachable(context, true);
     }
 
-    fn failed(&mut self, context: &mut Context<'_>, counters: &mut ConfigurationCounters) {
+    fn record_failure(&mut self, context: &mut Context<'_>, counters: &mut ConfigurationCounters) {
         counters.platform_failures += 1;
-        self.next_check = context.now + self.pause(context);
+        self.next_check = context.now + self.backoff(context);
         self.failures += 1;
         self.set_reachable(context, false);
     }
 
-    fn pause(&self, context: &mut Context<'_>) -> Duration {
+    fn backoff(&self, context: &mut Context<'_>) -> Duration {
         let factor = 1 << self.failures.min(16);
-        let pause = self.parameters.reader_pause.saturating_mul(factor);
+        let backoff = self.parameters.reader_pause.saturating_mul(factor);
         let jitter = context.random.random_range(0.5..1.0);
-        pause
+        backoff
             .min(self.parameters.reader_pause_maximum)
             .mul_f64(jitter)
     }
@@ -234,24 +237,30 @@
     }
 }
 
-fn register_news(object: &StoredObject) -> News {
+fn register_update(object: &StoredObject) -> ReaderUpdate {
     match serde_json::from_str::<Rollout>(&object.body) {
-        Ok(rollout) => News::Record(rollout.current),
-        Err(error) => News::Malformed(format!("the rollout register is malformed: {error}")),
+        Ok(rollout) => ReaderUpdate::Record(rollout.current),
+        Err(error) => ReaderUpdate::Malformed(format!("invalid rollout register: {error}")),
     }
 }
 
-fn bundle_news(record: GenerationRecord, object: Option<&StoredObject>) -> News {
+fn bundle_update(record: GenerationRecord, object: Option<&StoredObject>) -> ReaderUpdate {
     let Some(object) = object else {
-        return News::Malformed(format!("version {} is not published", record.version));
+        return ReaderUpdate::Malformed(format!(
+            "the bundle of version {} is not in the store",
+            record.version
+        ));
     };
     match serde_json::from_str(&object.body) {
-        Ok(published) => News::Bundle(record, Box::new(published)),
-        Err(error) => News::Malformed(format!("bundle {} is malformed: {error}", record.version)),
+        Ok(published) => ReaderUpdate::Bundle(record, Box::new(published)),
+        Err(error) => ReaderUpdate::Malformed(format!(
+            "invalid bundle of version {}: {error}",
+            record.version
+        )),
     }
 }
 
-fn ask(
+fn send_request(
     context: &mut Context<'_>,
     last_operation: &mut u64,
     request: PlatformRequest,
--- a/crates/thornbridge-core/src/configuration/register.rs
+++ b/crates/thornbridge-core/src/configuration/register.rs
@@ -1,4 +1,4 @@
-//! The generation register: what is accepted, and what peers are answered.
+//! Generation register: verifies and activates configurations, and builds replies to peers.
 
 use super::active::{ActiveConfiguration, ActiveConfigurationError, summary_of};
 use super::parameters::ConfigurationCounters;
@@ -13,12 +13,12 @@
 };
 use thornbridge_proto::{Digest, Generation};
 
-/// A configuration was not accepted.
+/// Reason for rejecting a configuration.
 #[derive(Debug, Snafu)]
-pub(super) enum Refusal {
-    #[snafu(display("generation {generation} is not newer than the one in force"))]
+pub(super) enum Rejection {
+    #[snafu(display("generation {generation} is not newer than the active one"))]
     NotNewer { generation: Generation },
-    #[snafu(display("generation {generation} is claimed by two records"))]
+    #[snafu(display("generation {generation} has two different records"))]
     Conflicting { generation: Generation },
     #[snafu(display("generation {generation}: {source}"))]
     Approval {
@@ -30,18 +30,18 @@
         generation: Generation,
         source: ActiveConfigurationError,
     },
-    #[snafu(display("the delta to generation {generation} applies to another bundle"))]
+    #[snafu(display("the base of the delta to generation {generation} is not the active bundle"))]
     OtherBase { generation: Generation },
 }
 
-/// Generations only rise here, and each is accepted with one record only.
+/// The active configuration of a node. Generations only increase, each with a single record.
 #[derive(Debug)]
 pub(super) struct Register {
     trusted_keys: Vec<TrustedKey>,
     kept_generations: usize,
     active: Option<Arc<ActiveConfiguration>>,
-    earlier: VecDeque<(Digest, SectionIndex)>,
-    verified: Option<GenerationRecord>,
+    previous_indices: VecDeque<(Digest, SectionIndex)>,
+    last_verified: Option<GenerationRecord>,
     conflict_reported: Option<Generation>,
 }
 
@@ -51,8 +51,8 @@
             trusted_keys,
             kept_generations,
             active: None,
-            earlier: VecDeque::new(),
-            verified: None,
+            previous_indices: VecDeque::new(),
+            last_verified: None,
             conflict_reported: None,
         }
     }
@@ -75,18 +75,18 @@
         active.map(|active| active.record.digest)
     }
 
-    /// Whether a record is worth having: newer than what is in force, and validly signed.
+    /// Checks that a record is newer than the active one and validly signed.
     pub(super) fn check(
         &mut self,
         record: &GenerationRecord,
         counters: &mut ConfigurationCounters,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         let generation = record.generation;
         if self.generation().is_some_and(|known| known >= generation) {
-            self.check_same(summary_of(record))?;
+            self.check_conflict(summary_of(record))?;
             return NotNewerSnafu { generation }.fail();
         }
-        if self.verified.as_ref() == Some(record) {
+        if self.last_verified.as_ref() == Some(record) {
             return Ok(());
         }
         counters.signatures_checked += 1;
@@ -98,57 +98,58 @@
             &record.signature,
         )
         .context(ApprovalSnafu { generation })?;
-        self.verified = Some(record.clone());
+        self.last_verified = Some(record.clone());
         Ok(())
     }
 
-    /// Two records of one generation cannot come from one store; refused, and told once.
-    pub(super) fn check_same(&mut self, claimed: GenerationSummary) -> Result<(), Refusal> {
-        let generation = claimed.generation;
+    /// Rejects a second, different record of the active generation.
+    pub(super) fn check_conflict(&mut self, received: GenerationSummary) -> Result<(), Rejection> {
+        let generation = received.generation;
         let known = self.summary();
-        let differs = known.is_some_and(|known| known.generation == generation && known != claimed);
+        let differs =
+            known.is_some_and(|known| known.generation == generation && known != received);
         if differs {
             return ConflictingSnafu { generation }.fail();
         }
         Ok(())
     }
 
-    /// Whether a conflict at this generation was not told yet.
+    /// Whether this is the first conflict reported for the generation.
     pub(super) fn is_first_conflict(&mut self, generation: Generation) -> bool {
         self.conflict_reported.replace(generation) != Some(generation)
     }
 
-    /// Takes a bundle as published. The record must have been checked.
+    /// Activates a published bundle. The record must have been checked.
     pub(super) fn accept_bundle(
         &mut self,
         record: GenerationRecord,
         bundle: Bundle,
-    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Rejection> {
         let generation = record.generation;
         let active =
             ActiveConfiguration::new(record, bundle).context(ContentSnafu { generation })?;
         Ok(self.install(active))
     }
 
-    /// Takes a bundle as a peer passed it on. The record must have been checked.
+    /// Activates a bundle received from a peer. The record must have been checked.
     pub(super) fn accept_sections(
         &mut self,
         record: GenerationRecord,
         sections: SectionSet,
-    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Rejection> {
         let generation = record.generation;
         let active = ActiveConfiguration::from_sections(record, sections)
             .context(ContentSnafu { generation })?;
         Ok(self.install(active))
     }
 
-    /// Takes a difference to the bundle in force. The record must have been checked.
+    /// Applies a delta to the active bundle. The record must have been checked.
     pub(super) fn accept_delta(
         &mut self,
         record: GenerationRecord,
         base: Digest,
         delta: SectionDelta,
-    ) -> Result<Arc<ActiveConfiguration>, Refusal> {
+    ) -> Result<Arc<ActiveConfiguration>, Rejection> {
         let generation = record.generation;
         let known = self.active.as_ref();
         let Some(known) = known.filter(|known| known.record.digest == base) else {
@@ -162,13 +163,14 @@
         let active = Arc::new(active);
         if let Some(replaced) = self.active.replace(Arc::clone(&active)) {
             let index = replaced.sections.index();
-            self.earlier.push_front((replaced.record.digest, index));
-            self.earlier.truncate(self.kept_generations);
+            self.previous_indices
+                .push_front((replaced.record.digest, index));
+            self.previous_indices.truncate(self.kept_generations);
         }
         active
     }
 
-    /// The difference from a peer's bundle to the one in force, where the peer's is known here.
+    /// Delta from a peer's bundle to the active one; `None` if the peer's bundle is not known.
     pub(super) fn delta_from(&self, base: Digest) -> Option<ConfigurationMessage> {
         let active = self.active.as_ref()?;
         let delta = if active.record.digest == base {
@@ -177,7 +179,10 @@
                 removed: Vec::new(),
             }
         } else {
-            let known = self.earlier.iter().find(|(digest, _)| *digest == base);
+            let known = self
+                .previous_indices
+                .iter()
+                .find(|(digest, _)| *digest == base);
             active.sections.delta_from(&known?.1)
         };
         Some(ConfigurationMessage::Delta {
@@ -188,8 +193,8 @@
         })
     }
 
-    /// The whole bundle in force.
-    pub(super) fn whole(&self) -> Option<ConfigurationMessage> {
+    /// Message with the whole active bundle.
+    pub(super) fn whole_bundle(&self) -> Option<ConfigurationMessage> {
         let active = self.active.as_ref()?;
         Some(ConfigurationMessage::Whole {
             record: active.record.clone(),
