--- a/crates/thornbridge-core/benches/routing.rs
+++ b/crates/thornbridge-core/benches/routing.rs
@@ -206,7 +206,8 @@
             ..LoadReport::default()
         };
         self.now = self.now + Duration::from_micros(900);
-        let finished = self.call(|router, context| router.replied(context, id, reply, Some(load)));
+        let finished =
+            self.call(|router, context| router.attempt_replied(context, id, reply, Some(load)));
         black_box(finished);
     }
 }
--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -414,9 +414,9 @@
                         shard: running.attempt.shard,
                         outcome,
                     };
-                    resources.router.replied(context, id, reply, None)
+                    resources.router.attempt_replied(context, id, reply, None)
                 }
-                Err(failure) => resources.router.failed(context, id, failure),
+                Err(failure) => resources.router.attempt_failed(context, id, failure),
             };
             if let Some(finished) = finished {
                 engine.attempt_finished(context, resources, finished);
--- a/crates/thornbridge-core/src/gateway/servers/subset.rs
+++ b/crates/thornbridge-core/src/gateway/servers/subset.rs
@@ -11,7 +11,7 @@
 use super::{Placement, ServerKey, Servers};
 use crate::gateway::budget::ServiceKey;
 use crate::routing::subset::{
-    SubsetBuild, SubsetNode, SubsetParameters, SubsetServer, Topology, pair_hash, server_hash,
+    SubsetBuild, SubsetNode, SubsetParameters, SubsetServer, Topology, identity_hash, pair_hash,
 };
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
@@ -57,7 +57,7 @@
 
     /// Rank of a server in an order specific to this node, so that nodes connect to different ones.
     pub(super) fn rendezvous_rank(&self, server: &BackEndId) -> u64 {
-        pair_hash(self.own_node.0, server_hash(server.as_str()))
+        pair_hash(self.own_node.0, identity_hash(server.as_str()))
     }
 
     /// Marks the assignment of a service as out of date.
@@ -129,9 +129,9 @@
                 .iter()
                 .filter_map(|key| self.servers.get(key))
                 .map(|server| SubsetServer {
-                    hash: server_hash(server.id.as_str()),
+                    hash: identity_hash(server.id.as_str()),
                     zone: server.zone.clone(),
-                    connections: limit,
+                    connection_limit: limit,
                 })
                 .collect(),
             groups: vec![(0..keys.len() as u32).collect()],
@@ -164,5 +164,5 @@
 
 /// Identity of a node that is stable across restarts.
 fn stable_node_id(address: SocketAddr) -> NodeId {
-    NodeId(server_hash(&address.to_string()))
+    NodeId(identity_hash(&address.to_string()))
 }
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -5,7 +5,7 @@
 use crate::gateway::budget::ServiceKey;
 use crate::gateway::routes::{ResolvedGather, ResolvedTarget, RouteKey, RouteTable};
 use crate::gateway::servers::{MemberLocation, Servers};
-use crate::routing::subset::server_hash;
+use crate::routing::subset::identity_hash;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -165,7 +165,7 @@
     /// Owners in order of preference: those in this zone first, the rest in a node-specific order
     /// that spreads load.
     fn sort_owners<'a>(&self, owners: impl Iterator<Item = &'a MemberLocation>) -> Vec<SocketAddr> {
-        let own_hash = server_hash(&self.own_address.to_string());
+        let own_hash = identity_hash(&self.own_address.to_string());
         let mut owners: Vec<(bool, u64, SocketAddr)> = owners
             .map(|owner| {
                 let other_zone = owner.zone != self.placement.zone;
@@ -206,5 +206,5 @@
     let first = shards
         .first()
         .and_then(|shard| servers.service_name(*shard));
-    first.map_or(0, |name| server_hash(name.as_str()))
+    first.map_or(0, |name| identity_hash(name.as_str()))
 }
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -158,11 +158,11 @@
                 reply,
                 load,
             } => {
-                let finished = self.router.replied(context, attempt, reply, load);
+                let finished = self.router.attempt_replied(context, attempt, reply, load);
                 self.hand_over(now, finished);
             }
             Event::AttemptFailed { attempt, failure } => {
-                let finished = self.router.failed(context, attempt, failure);
+                let finished = self.router.attempt_failed(context, attempt, failure);
                 self.hand_over(now, finished);
             }
             Event::ProbeReplied { back_end, report } => {
@@ -357,7 +357,7 @@
                 self.action_engine.members_changed(&view);
             }
             Signal::BackEndHealthUpdated(record) => {
-                self.router.health_learnt(&mut context, &record);
+                self.router.apply_health_record(&mut context, &record);
                 self.queries.apply_health_record(&record);
             }
             Signal::BackEndObserved(record) => {
--- a/crates/thornbridge-core/src/routing/back_end.rs
+++ b/crates/thornbridge-core/src/routing/back_end.rs
@@ -8,7 +8,7 @@
 use super::load::ReportedLoad;
 use super::outlier::OutlierState;
 use super::slow_start::SlowStart;
-use super::subset::{SubsetServer, Topology, server_hash};
+use super::subset::{SubsetServer, Topology, identity_hash};
 use std::net::SocketAddr;
 use thornbridge_config::bundle::{BackEnd, Bundle};
 use thornbridge_proto::{BackEndId, ServiceName};
@@ -207,8 +207,8 @@
 
 fn subset_server(back_end: &BackEnd) -> SubsetServer {
     SubsetServer {
-        hash: server_hash(back_end.id.as_str()),
+        hash: identity_hash(back_end.id.as_str()),
         zone: back_end.zone.clone(),
-        connections: back_end.connections,
+        connection_limit: back_end.connections,
     }
 }
--- a/crates/thornbridge-core/src/routing/choosing.rs
+++ b/crates/thornbridge-core/src/routing/choosing.rs
@@ -59,7 +59,7 @@
     }
 
     /// Quantile (0 to 1) of the recent latencies of a back end; `None` with too few samples.
-    pub fn latency_of(&self, back_end: &BackEndId, quantile: f64) -> Option<Duration> {
+    pub fn latency_quantile(&self, back_end: &BackEndId, quantile: f64) -> Option<Duration> {
         let state = self.back_ends.get_by_id(back_end)?;
         state.latency.quantile(&self.parameters.latency, quantile)
     }
@@ -84,7 +84,7 @@
     }
 
     /// Estimated mean latency of a back end, as used by the load balancer.
-    pub fn mean_latency_of(&self, now: Timestamp, back_end: &BackEndId) -> Option<Duration> {
+    pub fn mean_latency(&self, now: Timestamp, back_end: &BackEndId) -> Option<Duration> {
         let state = self.back_ends.get_by_id(back_end)?;
         self.decayed_latency_log2_us(now, state)
             .map(duration_from_log2_us)
--- a/crates/thornbridge-core/src/routing/connecting.rs
+++ b/crates/thornbridge-core/src/routing/connecting.rs
@@ -42,7 +42,7 @@
                 // Drivers report a lost connection's attempt as failed first; a driver may omit
                 // that.
                 let broken = AttemptFailure::ConnectionBroken;
-                let finished = self.failed(context, attempt, broken);
+                let finished = self.attempt_failed(context, attempt, broken);
                 self.finished.extend(finished);
             }
         }
--- a/crates/thornbridge-core/src/routing/dispatching.rs
+++ b/crates/thornbridge-core/src/routing/dispatching.rs
@@ -88,7 +88,7 @@
     }
 
     /// Handles a reply to an attempt.
-    pub fn replied(
+    pub fn attempt_replied(
         &mut self,
         context: &mut Context<'_>,
         attempt: AttemptId,
@@ -106,7 +106,7 @@
         };
         if !matches_attempt(&reply, &pending.attempt) {
             self.counters.replies_foreign += 1;
-            return self.failed(context, attempt, AttemptFailure::MalformedReply);
+            return self.attempt_failed(context, attempt, AttemptFailure::MalformedReply);
         }
         let pending = self.remove_attempt(attempt)?;
         self.observe_reply(context, &pending, &reply, load.as_ref());
@@ -120,7 +120,7 @@
     }
 
     /// Handles the failure of an attempt that was sent.
-    pub fn failed(
+    pub fn attempt_failed(
         &mut self,
         context: &mut Context<'_>,
         attempt: AttemptId,
--- a/crates/thornbridge-core/src/routing/observing.rs
+++ b/crates/thornbridge-core/src/routing/observing.rs
@@ -60,7 +60,7 @@
     }
 
     /// Handles a health record from a peer.
-    pub fn health_learnt(&mut self, context: &mut Context<'_>, record: &HealthRecord) {
+    pub fn apply_health_record(&mut self, context: &mut Context<'_>, record: &HealthRecord) {
         let Some(index) = self.back_ends.index(&record.back_end) else {
             return;
         };
--- a/crates/thornbridge-core/src/routing/subset.rs
+++ b/crates/thornbridge-core/src/routing/subset.rs
@@ -69,7 +69,7 @@
     pub(crate) hash: u64,
     pub(crate) zone: ZoneName,
     /// Maximum connections from all nodes together.
-    pub(crate) connections: u32,
+    pub(crate) connection_limit: u32,
 }
 
 /// Back ends, and the replica groups of the shards as indices of back ends.
@@ -139,7 +139,7 @@
         let allocations: Vec<Allocation> = topology
             .servers
             .iter()
-            .map(|server| allocate(&parameters, server.connections, node_count))
+            .map(|server| allocate(&parameters, server.connection_limit, node_count))
             .collect();
         let words = nodes.len().div_ceil(WORD_BITS);
         let assigned = allocations
@@ -335,7 +335,7 @@
 }
 
 /// Hash of an id, as for [`SubsetServer::hash`].
-pub(crate) fn server_hash(identity: &str) -> u64 {
+pub(crate) fn identity_hash(identity: &str) -> u64 {
     xxh3_64(identity.as_bytes())
 }
 
@@ -344,9 +344,9 @@
     xxh3_64_with_seed(&node.to_le_bytes(), server)
 }
 
-fn allocate(parameters: &SubsetParameters, connections: u32, node_count: u32) -> Allocation {
-    let available = (f64::from(connections) * (1.0 - parameters.reserve)) as u32;
-    let available = available.max(1).min(connections);
+fn allocate(parameters: &SubsetParameters, connection_limit: u32, node_count: u32) -> Allocation {
+    let available = (f64::from(connection_limit) * (1.0 - parameters.reserve)) as u32;
+    let available = available.max(1).min(connection_limit);
     if available >= node_count {
         let pool = (available / node_count).min(parameters.greatest_pool);
         return Allocation::AllNodes { pool };
--- a/crates/thornbridge-core/src/routing/tests/harness.rs
+++ b/crates/thornbridge-core/src/routing/tests/harness.rs
@@ -210,7 +210,8 @@
             shard: sent.shard,
             outcome,
         };
-        let finished = self.call(|router, context| router.replied(context, attempt, reply, load));
+        let finished =
+            self.call(|router, context| router.attempt_replied(context, attempt, reply, load));
         assert_eq!(
             finished.is_some(),
             expects_result,
@@ -261,7 +262,7 @@
             &mut self.actions,
             &mut self.signals,
         );
-        let finished = self.router.failed(&mut context, attempt, failure);
+        let finished = self.router.attempt_failed(&mut context, attempt, failure);
         while let Some(action) = self.actions.pop_front() {
             self.execute(action);
         }
--- a/crates/thornbridge-core/src/routing/tests/rules.rs
+++ b/crates/thornbridge-core/src/routing/tests/rules.rs
@@ -117,9 +117,9 @@
     };
     for (version, healthy) in [(5, false), (6, true)] {
         let leaving = record(Readiness::Leaving, 5);
-        harness.call(|router, context| router.health_learnt(context, &leaving));
+        harness.call(|router, context| router.apply_health_record(context, &leaving));
         let ready = record(Readiness::Ready, version);
-        harness.call(|router, context| router.health_learnt(context, &ready));
+        harness.call(|router, context| router.apply_health_record(context, &ready));
         assert!(!harness.router.is_healthy(&first));
         harness.advance_time(Duration::from_secs(7));
         assert_eq!(
--- a/crates/thornbridge-core/src/routing/tests/subsets.rs
+++ b/crates/thornbridge-core/src/routing/tests/subsets.rs
@@ -1,7 +1,7 @@
 //! Assignment of nodes to back ends, checked over whole clusters.
 
 use super::fixture::proptest_config;
-use crate::routing::subset::server_hash;
+use crate::routing::subset::identity_hash;
 use crate::routing::subset::{SubsetBuild, SubsetNode, SubsetParameters, SubsetServer, Topology};
 use proptest::prelude::*;
 use thornbridge_proto::{NodeId, ZoneName};
@@ -16,12 +16,12 @@
         .collect()
 }
 
-fn topology(shards: usize, replicas: usize, connections: u32) -> Topology {
+fn topology(shards: usize, replicas: usize, connection_limit: u32) -> Topology {
     let servers = (0..shards * replicas)
         .map(|server| SubsetServer {
-            hash: server_hash(&format!("server-{server}")),
+            hash: identity_hash(&format!("server-{server}")),
             zone: zone(server % 3),
-            connections,
+            connection_limit,
         })
         .collect();
     let groups = (0..shards)
@@ -55,15 +55,15 @@
         node_count in 1..120usize,
         shards in 1..6usize,
         replicas in 1..8usize,
-        connections in 1..80u32,
+        connection_limit in 1..80u32,
         invisible_nodes in 0..40u32,
     ) {
-        let topology = topology(shards, replicas, connections);
+        let topology = topology(shards, replicas, connection_limit);
         let nodes = nodes(node_count);
         let shares = shares_of_all_nodes(&topology, &nodes, node_count as u32 + invisible_nodes);
         for server in 0..topology.servers.len() {
             let used: u32 = shares.iter().map(|shares| shares[server]).sum();
-            prop_assert!(used <= connections);
+            prop_assert!(used <= connection_limit);
         }
         for group in &topology.groups {
             let reached = |shares: &Vec<u32>| {
--- a/crates/thornbridge-core/src/routing/tests/traffic.rs
+++ b/crates/thornbridge-core/src/routing/tests/traffic.rs
@@ -134,7 +134,7 @@
         observer: NodeId(2),
         version: u64::MAX / 2,
     };
-    harness.call(|router, context| router.health_learnt(context, &record));
+    harness.call(|router, context| router.apply_health_record(context, &record));
     harness.leaving.push(back_end);
 }
 
