--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! A model of everything around the engines: network, store, back ends, callers.
+//! Simulated environment of the engines: network, store, back ends and callers.
 
 use crate::action::{ActionEngine, ActionParameters};
 use crate::configuration::ActiveConfiguration;
@@ -24,11 +24,11 @@
 };
 use thornbridge_proto::{Incarnation, NodeId, RequestId};
 
-/// A node of the model. A new run takes its place when it crashes.
+/// A simulated node; a restart replaces its engine under a new node id.
 pub struct Host {
     pub engine: ActionEngine,
     pub endpoint: PeerEndpoint,
-    pub reading: bool,
+    pub is_reader: bool,
     pub leaving: bool,
     router: Router,
     limits: Limits,
@@ -40,7 +40,7 @@
     last_operation: u64,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone)]
 pub struct Packet {
     pub from: PeerEndpoint,
@@ -48,31 +48,31 @@
     pub message: ActionMessage,
 }
 
-/// A request to the store on its way.
-pub struct Question {
+/// A request to the store in flight.
+pub struct StoreRequest {
     pub host: usize,
     pub node: NodeId,
     pub operation: OperationId,
     pub request: PlatformRequest,
 }
 
-/// An attempt at a back end.
-pub struct Running {
+/// An attempt in flight at a back end.
+pub struct RunningAttempt {
     pub host: usize,
     pub node: NodeId,
     pub attempt: Attempt,
 }
 
-/// What a caller got.
+/// Response to a caller.
 #[derive(Clone, Debug)]
-pub enum Given {
+pub enum Response {
     Answer(ActionAnswer),
     Refusal(Refusal),
 }
 
-/// How a back end ends an attempt.
+/// End of an attempt at a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     Done,
     Failed,
     Shed,
@@ -84,26 +84,26 @@
     Malformed,
 }
 
-/// How the store treats a request.
+/// Fault injected into a request to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Store {
-    Answers,
-    LosesAnswer,
+pub enum StoreFault {
+    None,
+    AnswerLost,
     Unreachable,
 }
 
-/// Engines and everything around them.
+/// The engines and their simulated environment.
 pub struct Cluster {
     pub hosts: Vec<Host>,
     pub now: Timestamp,
     pub network: Vec<Packet>,
-    pub questions: Vec<Question>,
-    pub running: Vec<Running>,
-    pub given: BTreeMap<CallerId, Given>,
+    pub store_requests: Vec<StoreRequest>,
+    pub running: Vec<RunningAttempt>,
+    pub responses: BTreeMap<CallerId, Response>,
     /// Executions by key.
     pub executions: BTreeMap<String, u32>,
     executed_requests: BTreeMap<RequestId, u32>,
-    stored: Option<StoredObject>,
+    stored_group: Option<StoredObject>,
     active: Arc<ActiveConfiguration>,
     last_caller: u64,
     last_node: u64,
@@ -113,10 +113,10 @@
 pub const SERVICE: &str = "search";
 
 fn active_configuration() -> Arc<ActiveConfiguration> {
-    let mut shape = BundleSpec::new(CompletenessPolicy::CoverageFirst);
-    shape.shards = 2;
-    shape.replicas = 2;
-    shape.active_configuration_with(|bundle| bundle.services[0].kind = ServiceKind::Action)
+    let mut spec = BundleSpec::new(CompletenessPolicy::CoverageFirst);
+    spec.shards = 2;
+    spec.replicas = 2;
+    spec.active_configuration_with(|bundle| bundle.services[0].kind = ServiceKind::Action)
 }
 
 impl Cluster {
@@ -134,29 +134,29 @@
             hosts: Vec::new(),
             now: Timestamp::ZERO + Duration::from_secs(10),
             network: Vec::new(),
-            questions: Vec::new(),
+            store_requests: Vec::new(),
             running: Vec::new(),
-            given: BTreeMap::new(),
+            responses: BTreeMap::new(),
             executions: BTreeMap::new(),
             executed_requests: BTreeMap::new(),
-            stored: None,
+            stored_group: None,
             active: active_configuration(),
             last_caller: 0,
             last_node: 0,
             parameters,
         };
         for index in 0..hosts {
-            let host = cluster.fresh_host(index);
+            let host = cluster.new_host(index);
             cluster.hosts.push(host);
         }
         for index in 0..hosts {
             cluster.install(index);
-            cluster.see(index, u32::MAX);
+            cluster.set_view(index, u32::MAX);
         }
         cluster
     }
 
-    fn fresh_host(&mut self, index: usize) -> Host {
+    fn new_host(&mut self, index: usize) -> Host {
         self.last_node += 1;
         let endpoint = PeerEndpoint {
             node: NodeId(self.last_node * 1_000 + index as u64),
@@ -165,7 +165,7 @@
         Host {
             engine: ActionEngine::new(self.parameters.clone(), endpoint),
             endpoint,
-            reading: false,
+            is_reader: false,
             leaving: false,
             router: Router::new(RoutingParameters::default()),
             limits: Limits::new(LimitParameters::default()),
@@ -180,7 +180,7 @@
 
     fn install(&mut self, index: usize) {
         let active = Arc::clone(&self.active);
-        self.with(index, |engine, context, resources| {
+        self.call_engine(index, |engine, context, resources| {
             resources.router.install(context, &active);
             let release = resources.limits.install(context, &active);
             resources.released.extend(release);
@@ -188,8 +188,8 @@
         });
     }
 
-    /// Gives one node a view of the members in the mask, itself included.
-    pub fn see(&mut self, index: usize, mask: u32) {
+    /// Sets one node's member list to the nodes in the mask and itself.
+    pub fn set_view(&mut self, index: usize, mask: u32) {
         let record = |host: &Host| MemberRecord {
             endpoint: host.endpoint,
             name: "node".into(),
@@ -210,14 +210,14 @@
             .map(|(_, host)| record(host))
             .collect();
         let view = Arc::new(MemberView::new(record(&self.hosts[index]), others));
-        self.with(index, |engine, context, resources| {
+        self.call_engine(index, |engine, context, resources| {
             resources.router.members_changed(context, &view);
             engine.members_changed(&view);
         });
     }
 
-    /// Calls one engine and carries out what comes of it.
-    fn with(
+    /// Calls one engine and performs the resulting actions.
+    fn call_engine(
         &mut self,
         index: usize,
         call: impl FnOnce(&mut ActionEngine, &mut Context<'_>, &mut Resources<'_>),
@@ -231,20 +231,20 @@
             released: &mut host.released,
         };
         call(&mut host.engine, &mut context, &mut resources);
-        host.settle(now);
-        self.carry_out(index);
+        host.process_events(now);
+        self.perform_actions(index);
     }
 
-    fn carry_out(&mut self, index: usize) {
+    fn perform_actions(&mut self, index: usize) {
         while let Some(action) = self.hosts[index].actions.pop_front() {
             let endpoint = self.hosts[index].endpoint;
             match action {
                 Action::OpenConnection { connection, .. } => {
-                    self.with(index, |_, context, resources| {
+                    self.call_engine(index, |_, context, resources| {
                         resources.router.connection_opened(context, connection);
                     });
                 }
-                Action::SendAttempt { attempt, .. } => self.running.push(Running {
+                Action::SendAttempt { attempt, .. } => self.running.push(RunningAttempt {
                     host: index,
                     node: endpoint.node,
                     attempt,
@@ -259,38 +259,41 @@
                         message,
                     });
                 }
-                Action::Platform { operation, request } => self.questions.push(Question {
+                Action::Platform { operation, request } => self.store_requests.push(StoreRequest {
                     host: index,
                     node: endpoint.node,
                     operation,
                     request,
                 }),
                 Action::AnswerAction { caller, answer } => {
-                    let ran = self.executed_anywhere(&answer.outcome);
-                    assert!(ran, "answered without a run: {answer:?}");
-                    self.give(caller, Given::Answer(answer));
+                    let ran = self.was_executed(&answer.outcome);
+                    assert!(ran, "an action that did not run was answered: {answer:?}");
+                    self.record_response(caller, Response::Answer(answer));
                 }
                 Action::Refuse { caller, refusal } => {
                     let ran = self.executed_requests.contains_key(&refusal.request_id);
                     let says_no = refusal.executed == Executed::No;
-                    assert!(!(ran && says_no), "it ran: {refusal:?}");
-                    self.give(caller, Given::Refusal(refusal));
+                    assert!(
+                        !(ran && says_no),
+                        "an action that ran was refused as not run: {refusal:?}"
+                    );
+                    self.record_response(caller, Response::Refusal(refusal));
                 }
                 _ => {}
             }
         }
     }
 
-    fn executed_anywhere(&self, outcome: &str) -> bool {
+    fn was_executed(&self, outcome: &str) -> bool {
         self.executions.keys().any(|key| outcome == outcome_of(key))
     }
 
-    fn give(&mut self, caller: CallerId, given: Given) {
-        let earlier = self.given.insert(caller, given);
-        assert!(earlier.is_none(), "answered twice");
+    fn record_response(&mut self, caller: CallerId, response: Response) {
+        let earlier = self.responses.insert(caller, response);
+        assert!(earlier.is_none(), "caller {caller:?} was answered twice");
     }
 
-    pub fn ask(&mut self, index: usize, key: &str, payload: &str) -> CallerId {
+    pub fn send_action(&mut self, index: usize, key: &str, payload: &str) -> CallerId {
         self.last_caller += 1;
         let caller = CallerId(self.last_caller);
         let host = &mut self.hosts[index];
@@ -305,7 +308,7 @@
             payload: payload.to_owned(),
             timeout: None,
         };
-        self.with(index, |engine, context, resources| {
+        self.call_engine(index, |engine, context, resources| {
             engine.start(context, resources, caller, request_id, request);
         });
         caller
@@ -319,48 +322,54 @@
         else {
             return;
         };
-        self.with(index, |engine, context, resources| {
+        self.call_engine(index, |engine, context, resources| {
             engine.peer_message(context, resources, packet.from, packet.message);
         });
     }
 
-    pub fn answer_question(&mut self, position: usize, store: Store) {
-        let question = self.questions.remove(position);
-        let result = match store {
-            Store::Unreachable => Err(PlatformFailure::Unreachable),
-            Store::Answers => self.apply(question.request),
-            Store::LosesAnswer => {
-                let _ = self.apply(question.request);
+    pub fn complete_store_request(&mut self, position: usize, fault: StoreFault) {
+        let store_request = self.store_requests.remove(position);
+        let result = match fault {
+            StoreFault::Unreachable => Err(PlatformFailure::Unreachable),
+            StoreFault::None => self.apply_to_store(store_request.request),
+            StoreFault::AnswerLost => {
+                let _ = self.apply_to_store(store_request.request);
                 Err(PlatformFailure::NoAnswer)
             }
         };
-        if self.hosts[question.host].endpoint.node == question.node {
-            self.with(question.host, |engine, context, resources| {
-                engine.platform_reply(context, resources, question.operation, &result);
+        if self.hosts[store_request.host].endpoint.node == store_request.node {
+            self.call_engine(store_request.host, |engine, context, resources| {
+                engine.platform_reply(context, resources, store_request.operation, &result);
             });
         }
     }
 
-    fn apply(&mut self, request: PlatformRequest) -> Result<PlatformResponse, PlatformFailure> {
+    fn apply_to_store(
+        &mut self,
+        request: PlatformRequest,
+    ) -> Result<PlatformResponse, PlatformFailure> {
         match request {
-            PlatformRequest::Get { .. } => Ok(PlatformResponse::Object(self.stored.clone())),
+            PlatformRequest::Get { .. } => Ok(PlatformResponse::Object(self.stored_group.clone())),
             PlatformRequest::Put {
                 name,
                 body,
                 precondition,
                 ..
             } => {
-                let present = self.stored.as_ref().map(|object| object.resource_version);
+                let current = self
+                    .stored_group
+                    .as_ref()
+                    .map(|object| object.resource_version);
                 let expected = match precondition {
                     Precondition::Absent => None,
                     Precondition::Version(version) => Some(version),
                 };
-                if present != expected {
-                    let current = self.stored.clone();
+                if current != expected {
+                    let current = self.stored_group.clone();
                     return Err(PlatformFailure::Conflict { current });
                 }
-                let version = ResourceVersion(present.map_or(1, |version| version.0 + 1));
-                self.stored = Some(StoredObject {
+                let version = ResourceVersion(current.map_or(1, |version| version.0 + 1));
+                self.stored_group = Some(StoredObject {
                     kind: ObjectKind::ClaimGroup,
                     name,
                     resource_version: version,
@@ -372,13 +381,19 @@
         }
     }
 
-    pub fn end_attempt(&mut self, position: usize, end: End) {
+    pub fn end_attempt(&mut self, position: usize, end: AttemptEnd) {
         let running = self.running.remove(position);
         let Work::Action { key, .. } = &running.attempt.work else {
             unreachable!("only actions are sent");
         };
-        let runs = [End::Done, End::Failed, End::BrokenAfterRun, End::Malformed].contains(&end);
-        if runs {
+        let is_executed = [
+            AttemptEnd::Done,
+            AttemptEnd::Failed,
+            AttemptEnd::BrokenAfterRun,
+            AttemptEnd::Malformed,
+        ]
+        .contains(&end);
+        if is_executed {
             let count = self.executions.entry(key.to_string()).or_default();
             *count += 1;
             assert!(*count <= 1, "key {key} ran twice");
@@ -391,20 +406,22 @@
             return;
         }
         let outcome = match end {
-            End::Done => Ok(ReplyOutcome::Done {
+            AttemptEnd::Done => Ok(ReplyOutcome::Done {
                 outcome: outcome_of(key),
             }),
-            End::Failed => Ok(ReplyOutcome::Failed {
+            AttemptEnd::Failed => Ok(ReplyOutcome::Failed {
                 detail: "disk".to_owned(),
             }),
-            End::Shed => Ok(ReplyOutcome::Shed { retry_after_ms: 1 }),
-            End::Leaving => Ok(ReplyOutcome::Leaving),
-            End::Expired => Ok(ReplyOutcome::Expired),
-            End::NotSent => Err(AttemptFailure::NotSent),
-            End::BrokenAfterRun | End::BrokenBeforeRun => Err(AttemptFailure::ConnectionBroken),
-            End::Malformed => Err(AttemptFailure::MalformedReply),
+            AttemptEnd::Shed => Ok(ReplyOutcome::Shed { retry_after_ms: 1 }),
+            AttemptEnd::Leaving => Ok(ReplyOutcome::Leaving),
+            AttemptEnd::Expired => Ok(ReplyOutcome::Expired),
+            AttemptEnd::NotSent => Err(AttemptFailure::NotSent),
+            AttemptEnd::BrokenAfterRun | AttemptEnd::BrokenBeforeRun => {
+                Err(AttemptFailure::ConnectionBroken)
+            }
+            AttemptEnd::Malformed => Err(AttemptFailure::MalformedReply),
         };
-        self.with(running.host, |engine, context, resources| {
+        self.call_engine(running.host, |engine, context, resources| {
             let id = running.attempt.attempt;
             let finished: Option<FinishedAttempt> = match outcome {
                 Ok(outcome) => {
@@ -424,29 +441,29 @@
         });
     }
 
-    pub fn set_reading(&mut self, index: usize, reading: bool) {
-        self.hosts[index].reading = reading;
+    pub fn set_reading(&mut self, index: usize, is_reader: bool) {
+        self.hosts[index].is_reader = is_reader;
         self.tick(index);
     }
 
-    /// A crash; another run takes its place at the same address.
+    /// Crashes a node and starts another one at the same address.
     pub fn restart(&mut self, index: usize) {
-        self.hosts[index] = self.fresh_host(index);
+        self.hosts[index] = self.new_host(index);
         self.install(index);
-        self.see(index, u32::MAX);
+        self.set_view(index, u32::MAX);
     }
 
     pub fn leave(&mut self, index: usize) {
         self.hosts[index].leaving = true;
         let now = self.now;
-        self.with(index, |engine, _, _| engine.leave(now));
+        self.call_engine(index, |engine, _, _| engine.leave(now));
     }
 
     pub fn tick(&mut self, index: usize) {
         let now = self.now;
-        let reading = self.hosts[index].reading;
-        self.with(index, |engine, context, resources| {
-            engine.set_reading(now, reading);
+        let is_reader = self.hosts[index].is_reader;
+        self.call_engine(index, |engine, context, resources| {
+            engine.set_reading(now, is_reader);
             let due = engine.next_timeout().is_some_and(|due| due <= now);
             if due {
                 engine.timer_due(context, resources);
@@ -464,14 +481,14 @@
         }
     }
 
-    /// Lets everything arrive, in order, and time pass.
-    pub fn run_quietly(&mut self, for_millis: u64) {
-        // Long spells go in coarser steps.
-        let step = if for_millis >= 1_000 { 10 } else { 1 };
-        for _ in 0..for_millis / step {
+    /// Advances time without faults: all requests succeed, and messages arrive in order.
+    pub fn run_without_faults(&mut self, duration_ms: u64) {
+        // Coarser steps keep long durations fast.
+        let step = if duration_ms >= 1_000 { 10 } else { 1 };
+        for _ in 0..duration_ms / step {
             self.advance(Duration::from_millis(step));
-            while !self.questions.is_empty() {
-                self.answer_question(0, Store::Answers);
+            while !self.store_requests.is_empty() {
+                self.complete_store_request(0, StoreFault::None);
             }
             for packet in std::mem::take(&mut self.network) {
                 self.deliver(packet);
@@ -479,32 +496,32 @@
         }
     }
 
-    /// What an operator does when most of a group is lost.
+    /// Deletes the stored group, as an operator does after the loss of a majority.
     pub fn delete_group(&mut self) {
-        self.stored = None;
+        self.stored_group = None;
     }
 
-    /// A node that is in no group.
-    pub fn outsider(&self) -> usize {
-        let is_outside = |host: &Host| host.engine.member.deciding().is_none();
-        self.hosts.iter().position(is_outside).unwrap()
+    /// A node that is not a member of the group.
+    pub fn non_member(&self) -> usize {
+        let is_not_deciding = |host: &Host| host.engine.member.deciding().is_none();
+        self.hosts.iter().position(is_not_deciding).unwrap()
     }
 
-    /// Epoch of the latest group that a node knows.
+    /// Epoch of the latest group known to a node.
     pub fn epoch_of(&self, index: usize) -> u64 {
         let latest = self.hosts[index].engine.member.latest();
         latest.map_or(0, |group| group.epoch.0)
     }
 
-    pub fn see_all(&mut self) {
+    pub fn set_full_views(&mut self) {
         for index in 0..self.hosts.len() {
-            self.see(index, u32::MAX);
+            self.set_view(index, u32::MAX);
         }
     }
 }
 
 impl Host {
-    fn settle(&mut self, now: Timestamp) {
+    fn process_events(&mut self, now: Timestamp) {
         loop {
             let mut context =
                 Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
--- a/crates/thornbridge-core/src/action/tests/group_choice.rs
+++ b/crates/thornbridge-core/src/action/tests/group_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of a group's members.
+//! Tests of the selection of a group's members.
 
 use crate::action::group::{choose_members, majority};
 use crate::membership::MemberView;
@@ -35,12 +35,12 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// An odd number of members that take work; those that may stay do; no zone holds a majority
-    /// where three zones take part alike.
+    /// The number of selected members is odd, all of them accept work, and current members that
+    /// accept work remain.
     #[test]
-    fn members_are_odd_stay_and_are_spread(
+    fn selected_members_are_odd_and_current_ones_remain(
         nodes in prop::collection::vec((0..3u8, any::<bool>()), 1..20),
-        present in prop::collection::btree_set(1..20u64, 0..5),
+        current in prop::collection::btree_set(1..20u64, 0..5),
     ) {
         let records: Vec<MemberRecord> = nodes
             .iter()
@@ -52,18 +52,18 @@
             .collect();
         let own = member(100, 0, MemberState::Alive);
         let view = MemberView::new(own, records);
-        let present: Vec<PeerEndpoint> = present
+        let current: Vec<PeerEndpoint> = current
             .into_iter()
             .map(|node| member(node, 0, MemberState::Alive).endpoint)
             .collect();
-        let chosen = choose_members(&view, &present, 5);
-        let taking: BTreeSet<NodeId> = view.accepting_work().map(|it| it.endpoint.node).collect();
+        let chosen = choose_members(&view, &current, 5);
+        let available: BTreeSet<NodeId> = view.accepting_work().map(|it| it.endpoint.node).collect();
         prop_assert_eq!(chosen.len() % 2, 1);
-        prop_assert!(chosen.len() <= 5 && chosen.len() + 1 >= taking.len().min(5));
-        prop_assert!(chosen.iter().all(|it| taking.contains(&it.node)));
-        let staying = present.iter().filter(|it| taking.contains(&it.node)).count();
-        let kept = chosen.iter().filter(|it| present.contains(it)).count();
-        prop_assert_eq!(kept, staying.min(chosen.len()));
+        prop_assert!(chosen.len() <= 5 && chosen.len() + 1 >= available.len().min(5));
+        prop_assert!(chosen.iter().all(|it| available.contains(&it.node)));
+        let remaining = current.iter().filter(|it| available.contains(&it.node)).count();
+        let kept = chosen.iter().filter(|it| current.contains(it)).count();
+        prop_assert_eq!(kept, remaining.min(chosen.len()));
     }
 }
 
--- a/crates/thornbridge-core/src/action/tests/state_machine.rs
+++ b/crates/thornbridge-core/src/action/tests/state_machine.rs
@@ -1,7 +1,7 @@
-//! Arbitrary interleavings: no key runs twice, whatever views, losses, crashes and changes of the
-//! group there are. The checks are made in [`Cluster`], at each execution and each answer.
+//! Random interleavings with different member lists, lost messages, crashes and group changes: no
+//! key runs twice. [`Cluster`] checks each execution and each response.
 
-use super::cluster::{Cluster, End, Store};
+use super::cluster::{AttemptEnd, Cluster, StoreFault};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -9,26 +9,26 @@
 
 const HOSTS: usize = 6;
 
-/// One thing that happens. Indices are taken modulo what there is.
+/// One step of the test. Indices are taken modulo the number of elements.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Ask { host: usize, key: u8, payload: u8 },
+    SendAction { host: usize, key: u8, payload: u8 },
     Deliver(usize),
     DeliverAll,
     Duplicate(usize),
     Drop(usize),
     DropAll,
-    Store(usize, Store),
-    End(usize, End),
+    CompleteStoreRequest(usize, StoreFault),
+    EndAttempt(usize, AttemptEnd),
     Wait(u64),
-    See { host: usize, mask: u32 },
-    Reading { host: usize, reading: bool },
+    SetView { host: usize, mask: u32 },
+    SetReader { host: usize, is_reader: bool },
     Restart(usize),
     Leave(usize),
-    Quiet(u64),
+    RunWithoutFaults(u64),
 }
 
-/// The steps do not depend on a state: any order of them is allowed.
+/// Reference without a state: any order of steps is allowed.
 pub struct AnyOrder;
 
 impl ReferenceStateMachine for AnyOrder {
@@ -40,7 +40,7 @@
     }
 
     fn transitions(_: &usize) -> BoxedStrategy<Step> {
-        use End::*;
+        use AttemptEnd::*;
         let ends = prop::sample::select(vec![
             Done,
             Done,
@@ -53,15 +53,15 @@
             BrokenBeforeRun,
             Malformed,
         ]);
-        let stores = prop::sample::select(vec![
-            Store::Answers,
-            Store::Answers,
-            Store::Answers,
-            Store::LosesAnswer,
-            Store::Unreachable,
+        let faults = prop::sample::select(vec![
+            StoreFault::None,
+            StoreFault::None,
+            StoreFault::None,
+            StoreFault::AnswerLost,
+            StoreFault::Unreachable,
         ]);
         prop_oneof![
-            8 => (0..HOSTS, 0..3u8, 0..8u8).prop_map(|(host, key, payload)| Step::Ask {
+            8 => (0..HOSTS, 0..3u8, 0..8u8).prop_map(|(host, key, payload)| Step::SendAction {
                 host,
                 key,
                 payload: payload / 7,
@@ -71,15 +71,15 @@
             3 => (0..100usize).prop_map(Step::Duplicate),
             3 => (0..100usize).prop_map(Step::Drop),
             1 => Just(Step::DropAll),
-            6 => (0..10usize, stores).prop_map(|(index, store)| Step::Store(index, store)),
-            8 => (0..10usize, ends).prop_map(|(index, end)| Step::End(index, end)),
+            6 => (0..10usize, faults).prop_map(|(index, fault)| Step::CompleteStoreRequest(index, fault)),
+            8 => (0..10usize, ends).prop_map(|(index, end)| Step::EndAttempt(index, end)),
             10 => (1..120u64).prop_map(Step::Wait),
             1 => (1_000..4_000u64).prop_map(Step::Wait),
-            4 => (0..HOSTS, any::<u32>()).prop_map(|(host, mask)| Step::See { host, mask }),
-            3 => (0..HOSTS, any::<bool>()).prop_map(|(host, reading)| Step::Reading { host, reading }),
+            4 => (0..HOSTS, any::<u32>()).prop_map(|(host, mask)| Step::SetView { host, mask }),
+            3 => (0..HOSTS, any::<bool>()).prop_map(|(host, is_reader)| Step::SetReader { host, is_reader }),
             2 => (0..HOSTS).prop_map(Step::Restart),
             1 => (0..HOSTS).prop_map(Step::Leave),
-            3 => (1..40u64).prop_map(Step::Quiet),
+            3 => (1..40u64).prop_map(Step::RunWithoutFaults),
         ]
         .boxed()
     }
@@ -89,26 +89,25 @@
     }
 }
 
-/// Engines under the steps.
-pub struct EnginesUnderSteps;
+pub struct ClusterTest;
 
-impl StateMachineTest for EnginesUnderSteps {
+impl StateMachineTest for ClusterTest {
     type SystemUnderTest = Cluster;
     type Reference = AnyOrder;
 
     fn init_test(hosts: &usize) -> Cluster {
         let mut cluster = Cluster::new(*hosts);
         cluster.set_reading(0, true);
-        cluster.run_quietly(4_000);
+        cluster.run_without_faults(4_000);
         cluster
     }
 
     fn apply(mut cluster: Cluster, hosts: &usize, step: Step) -> Cluster {
         let queued = cluster.network.len();
         match step {
-            Step::Ask { host, key, payload } => {
+            Step::SendAction { host, key, payload } => {
                 let (key, payload) = (format!("k{key}"), format!("p{payload}"));
-                cluster.ask(host % hosts, &key, &payload);
+                cluster.send_action(host % hosts, &key, &payload);
             }
             Step::Deliver(index) if queued > 0 => {
                 let packet = cluster.network.remove(index % queued);
@@ -127,43 +126,43 @@
                 cluster.network.remove(index % queued);
             }
             Step::DropAll => cluster.network.clear(),
-            Step::Store(index, store) if !cluster.questions.is_empty() => {
-                let index = index % cluster.questions.len();
-                cluster.answer_question(index, store);
+            Step::CompleteStoreRequest(index, fault) if !cluster.store_requests.is_empty() => {
+                let index = index % cluster.store_requests.len();
+                cluster.complete_store_request(index, fault);
             }
-            Step::End(index, end) if !cluster.running.is_empty() => {
+            Step::EndAttempt(index, end) if !cluster.running.is_empty() => {
                 let index = index % cluster.running.len();
                 cluster.end_attempt(index, end);
             }
-            Step::Wait(millis) => cluster.advance(Duration::from_millis(millis)),
-            Step::See { host, mask } => cluster.see(host % hosts, mask),
-            Step::Reading { host, reading } => cluster.set_reading(host % hosts, reading),
+            Step::Wait(duration_ms) => cluster.advance(Duration::from_millis(duration_ms)),
+            Step::SetView { host, mask } => cluster.set_view(host % hosts, mask),
+            Step::SetReader { host, is_reader } => cluster.set_reading(host % hosts, is_reader),
             Step::Restart(host) => cluster.restart(host % hosts),
             Step::Leave(host) => cluster.leave(host % hosts),
-            Step::Quiet(millis) => cluster.run_quietly(millis),
+            Step::RunWithoutFaults(duration_ms) => cluster.run_without_faults(duration_ms),
             Step::Deliver(_)
             | Step::Duplicate(_)
             | Step::Drop(_)
-            | Step::Store(..)
-            | Step::End(..) => {}
+            | Step::CompleteStoreRequest(..)
+            | Step::EndAttempt(..) => {}
         }
         cluster
     }
 
     fn teardown(mut cluster: Cluster) {
-        // Whatever still runs somewhere ends as if it had run.
+        // Ends all attempts in flight as executed.
         while !cluster.running.is_empty() {
-            cluster.end_attempt(0, End::Done);
+            cluster.end_attempt(0, AttemptEnd::Done);
         }
-        cluster.see_all();
-        cluster.run_quietly(2_000);
+        cluster.set_full_views();
+        cluster.run_without_faults(2_000);
         while !cluster.running.is_empty() {
-            cluster.end_attempt(0, End::Done);
+            cluster.end_attempt(0, AttemptEnd::Done);
         }
     }
 }
 
-/// Few cases in CI, the same on each run; more by `THORNBRIDGE_LONG`.
+/// Few cases with a fixed seed; more if `THORNBRIDGE_LONG` is set.
 fn configuration() -> Config {
     let long = std::env::var_os("THORNBRIDGE_LONG").is_some();
     Config {
@@ -178,5 +177,5 @@
     #![proptest_config(configuration())]
 
     #[test]
-    fn no_interleaving_runs_a_key_twice(sequential 1..200 => EnginesUnderSteps);
+    fn no_interleaving_runs_a_key_twice(sequential 1..200 => ClusterTest);
 }
