--- a/crates/thornbridge-core/src/lease/mod.rs
+++ b/crates/thornbridge-core/src/lease/mod.rs
@@ -1,50 +1,51 @@
-//! Leases in the platform's store: holder, renewal, fencing token.
+//! Leases in the platform's store, with holder, renewal counter and fencing token.
 //!
-//! A lease is an object changed by compare-and-swap only. Time is judged by each node's own
-//! monotonic clock: a candidate waits until it has itself seen no renewal for the lease's whole
-//! duration; a holder stops using the lease a margin before that, counted from when it *sent* the
-//! last renewal that it knows to have taken effect. No wall clock is read or compared.
+//! A lease is a stored object that is changed by compare-and-swap only. Each node measures time
+//! with its own monotonic clock and compares no wall clocks. A candidate takes a lease after it has
+//! itself seen no renewal for the lease's duration. A holder stops using the lease a margin before
+//! its end, counted from the time at which it *sent* the last renewal known to have taken effect.
 //!
-//! A holder that was paused or lied to by its clock may believe longer than it should. Its next
-//! write still does nothing: each write depends on the version it follows, and a successor's
-//! write has changed that version and raised the fencing token.
+//! A holder whose process was paused or whose clock is wrong may consider the lease held for too
+//! long. Its writes then fail, since each one depends on the version it follows, and a successor
+//! has changed that version and raised the fencing token.
 //!
-//! Source of fencing by token: M. Burrows, "The Chubby lock service", OSDI 2006 (sequencers).
+//! Source of fencing tokens: M. Burrows, "The Chubby lock service", OSDI 2006 (sequencers).
 
-mod machine;
 mod ranking;
 mod reader_leases;
+mod state_machine;
 
-pub use machine::{FencingToken, Lease};
 pub use ranking::reader_ranking;
 pub use reader_leases::ReaderLeases;
+pub use state_machine::{FencingToken, Lease};
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Tunable values.
+/// Parameters of leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseParameters {
-    /// How long others wait after the last renewal they saw. Readers change hands within this and
-    /// the time of failure detection; shorter costs more writes.
+    /// Duration of a lease: how long others wait after the last renewal that they saw. A shorter
+    /// duration speeds up failover and costs more writes.
     pub duration: Duration,
-    /// Time between renewals: three tries fit into a duration.
+    /// Interval between renewals. Several renewals fit into a duration.
     pub renew_interval: Duration,
-    /// How long before its end a holder stops using the lease. Covers clocks that run at
-    /// slightly different rates, and the time between a check and the use that follows.
+    /// How long before its end a holder stops using the lease. Covers differences in clock rate,
+    /// and the time between a check and the use that follows.
     pub margin: Duration,
-    /// First pause after a failure; doubled each time up to the duration, with jitter.
+    /// First backoff after a failure; doubled on each further one up to the duration, with jitter.
     pub retry_pause: Duration,
-    /// Nodes in each region that watch the platform. Two, so that one may be replaced at any time.
+    /// Nodes in each region that read the platform.
     pub readers_per_region: usize,
-    /// Further nodes in each region that may try when the platform was not heard for a while, in
-    /// case those in front cannot reach it. Bounds the nodes that touch a store that is down.
+    /// Additional candidates in each region while the platform is silent, in case the first ones
+    /// cannot reach it. Bounds the load on an unavailable store.
     pub extra_candidates: usize,
-    /// Silence of the platform after which one more candidate may try, and again for the next.
+    /// Silence of the platform after which one more candidate is allowed, and after each further
+    /// interval the next.
     pub escalation_interval: Duration,
-    /// Time after its start in which a node that was given seeds but knows no peer yet does not
-    /// become a candidate: most nodes join within it and see that others rank before them.
+    /// How long after its start a node that has seeds but no peers waits before it becomes a
+    /// candidate.
     pub join_grace: Duration,
 }
 
@@ -63,20 +64,20 @@
     }
 }
 
-/// Counters.
+/// Counters of leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseCounters {
-    /// Leases gained.
+    /// Leases acquired.
     pub gained: u64,
-    /// Leases lost to another, or not renewed in time.
+    /// Leases lost to another node or not renewed in time.
     pub lost: u64,
-    /// Leases given back.
+    /// Leases released.
     pub released: u64,
     /// Renewals that took effect.
     pub renewed: u64,
-    /// Writes refused because the lease had changed.
+    /// Writes rejected because the lease had changed.
     pub conflicts: u64,
-    /// Writes whose answer was lost.
+    /// Writes without an answer, whose outcome is unknown.
     pub in_doubt: u64,
     /// Requests sent to the platform.
     pub requests: u64,
--- a/crates/thornbridge-core/src/lease/ranking.rs
+++ b/crates/thornbridge-core/src/lease/ranking.rs
@@ -1,4 +1,4 @@
-//! Which nodes of a region try to become its readers: an order that all nodes work out alike.
+//! Ranking of the nodes of a region as candidates for its reader leases.
 
 use crate::membership::MemberView;
 use std::collections::BTreeMap;
@@ -6,13 +6,13 @@
 use thornbridge_proto::{NodeId, RegionName, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Separates this ranking from any other use of the same hash.
+/// Hash seed of this ranking.
 const RANKING_SEED: u64 = 0x7265_6164_6572_7321;
 
-/// The first `count` nodes of the view's own region that take work: the best of each zone, then the
-/// second of each zone, and so on, so that the loss of one zone does not take all readers.
+/// The first `count` nodes of the view's own region that accept work: the best of each zone, then
+/// the second of each zone, and so on, so that the readers are spread over zones.
 ///
-/// Rendezvous order: a node that comes or goes moves the others by one place at most.
+/// Rendezvous hashing: a node that joins or leaves moves the others by at most one place.
 pub fn reader_ranking(view: &MemberView, count: usize) -> Vec<PeerEndpoint> {
     let region = &view.own().region;
     let mut zones: BTreeMap<&ZoneName, Vec<(u64, PeerEndpoint)>> = BTreeMap::new();
--- a/crates/thornbridge-core/src/lease/reader_leases.rs
+++ b/crates/thornbridge-core/src/lease/reader_leases.rs
@@ -1,7 +1,8 @@
-//! The leases that make a node a reader of the platform: a few for each region, at most one a node.
+//! Leases that make a node a reader of the platform: a few for each region, at most one for each
+//! node.
 //!
-//! Only the first nodes of the region's ranking try, so that the number of nodes that touch the
-//! platform does not grow with the cluster.
+//! Only the first nodes in the region's ranking are candidates, so that the number of nodes that
+//! access the platform does not grow with the cluster.
 
 use super::{FencingToken, Lease, LeaseCounters, LeaseParameters, reader_ranking};
 use crate::context::Context;
@@ -18,32 +19,33 @@
 use thornbridge_proto::peer::membership::{MemberRecord, MemberState};
 use thornbridge_proto::platform::{PlatformFailure, PlatformResponse};
 
-/// Lease durations between looks at a lease whose holder is alive as far as membership knows. Also
-/// for a node that knows no peer though it was given seeds: when the peers' network is broken for
-/// all, every node stands first in its own ranking.
-const QUIET_PATIENCE: u32 = 12;
+/// Lease durations between reads of a lease whose holder is alive by membership. Also used by a
+/// node that has seeds but knows no peer: without a peer network, every node ranks first in its own
+/// view.
+const LIVE_HOLDER_CHECK_DURATIONS: u32 = 12;
 
-/// All reader leases of a node's region, as the node sees them.
+/// Reader leases of a node's region.
 #[derive(Debug)]
 pub struct ReaderLeases {
     parameters: LeaseParameters,
     own: PeerEndpoint,
-    /// Whether seeds were given: a node that knows nobody yet waits before it tries.
-    expects_peers: bool,
+    /// Whether the node has seeds, and so waits for peers before it becomes a candidate.
+    has_seeds: bool,
     leases: Vec<Lease>,
     operations: Vec<Option<OperationId>>,
     ranking: Vec<PeerEndpoint>,
     view: Option<Arc<MemberView>>,
     leaving: bool,
     started_at: Option<Timestamp>,
-    heard_at: Option<Timestamp>,
-    held: Option<usize>,
+    last_contact: Option<Timestamp>,
+    reported_held: Option<usize>,
     counters: LeaseCounters,
 }
 
 impl ReaderLeases {
-    /// Leases of the node's region; wanted once [`Self::started`] was called.
-    pub fn new(parameters: LeaseParameters, own: &MemberRecord, expects_peers: bool) -> Self {
+    /// Creates the leases of the node's region; they are not wanted before [`Self::started`] is
+    /// called.
+    pub fn new(parameters: LeaseParameters, own: &MemberRecord, has_seeds: bool) -> Self {
         let names =
             (0..parameters.readers_per_region).map(|slot| format!("reader-{}-{slot}", own.region));
         let leases: Vec<Lease> = names
@@ -51,36 +53,36 @@
             .collect();
         Self {
             own: own.endpoint,
-            expects_peers,
+            has_seeds,
             operations: vec![None; leases.len()],
             leases,
             ranking: vec![own.endpoint],
             view: None,
             leaving: false,
             started_at: None,
-            heard_at: None,
-            held: None,
+            last_contact: None,
+            reported_held: None,
             counters: LeaseCounters::default(),
             parameters,
         }
     }
 
-    /// First call.
+    /// Records the start of the node.
     pub fn started(&mut self, now: Timestamp) {
         self.started_at = Some(now);
     }
 
-    /// The token, while this node is a reader.
+    /// Fencing token while this node is a reader.
     pub fn held(&self, now: Timestamp) -> Option<FencingToken> {
         self.leases.iter().find_map(|lease| lease.held(now))
     }
 
-    /// Counters over all leases.
+    /// Counters of all leases.
     pub fn counters(&self) -> &LeaseCounters {
         &self.counters
     }
 
-    /// Leases that were seen from here.
+    /// Status of the leases that this node has read or held.
     pub fn statuses(&self, now: Timestamp) -> Vec<LeaseStatus> {
         let seen = |lease: &Lease| {
             let (holder, token) = lease.last_seen()?;
@@ -94,17 +96,17 @@
         self.leases.iter().filter_map(seen).collect()
     }
 
-    /// Nodes next in rank, which take over where the readers cannot reach the platform: they are
-    /// told first that it is heard.
+    /// Next nodes in the ranking, which become candidates when the readers cannot reach the
+    /// platform. Readers notify them first of contact with it.
     pub fn standbys(&self) -> Vec<SocketAddr> {
-        let behind = self.ranking.iter().skip(self.parameters.readers_per_region);
-        let others = behind.filter(|endpoint| **endpoint != self.own);
+        let standbys = self.ranking.iter().skip(self.parameters.readers_per_region);
+        let others = standbys.filter(|endpoint| **endpoint != self.own);
         others.map(|endpoint| endpoint.address).collect()
     }
 
-    /// The members changed. A lease whose holder is in doubt is looked at now.
+    /// Applies a new member list, and reads the leases whose holder is no longer alive.
     pub fn members_changed(&mut self, now: Timestamp, view: &Arc<MemberView>) {
-        self.ranking = reader_ranking(view, self.most_candidates());
+        self.ranking = reader_ranking(view, self.max_candidates());
         self.view = Some(Arc::clone(view));
         for position in 0..self.leases.len() {
             let held = self.leases[position].held(now).is_some();
@@ -117,18 +119,18 @@
         }
     }
 
-    /// The platform was heard, here or by a peer, at this time.
+    /// Records the time of a contact with the platform, by this node or a peer.
     pub fn platform_heard(&mut self, at: Timestamp) {
-        self.heard_at = self.heard_at.max(Some(at));
+        self.last_contact = self.last_contact.max(Some(at));
     }
 
-    /// A planned stop begins: a lease held is given back.
+    /// Begins a planned stop: releases a held lease.
     pub fn leave(&mut self, context: &mut Context<'_>, last_operation: &mut u64) {
         self.leaving = true;
         self.timer_due(context, last_operation);
     }
 
-    /// The process was paused or its clock jumped.
+    /// Discards all state based on time after the process was paused or its clock jumped.
     pub fn clock_jumped(&mut self, context: &mut Context<'_>, last_operation: &mut u64) {
         for lease in &mut self.leases {
             lease.clock_jumped(context.now, &mut self.counters);
@@ -136,29 +138,31 @@
         self.timer_due(context, last_operation);
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time of the next call of [`Self::timer_due`], if any.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let leases = self.leases.iter().filter_map(Lease::next_timeout);
         leases.chain(self.next_candidacy()).min()
     }
 
-    /// Reads, takes, renews or gives back what is due.
+    /// Reads, acquires, renews or releases the leases that are due.
     pub fn timer_due(&mut self, context: &mut Context<'_>, last_operation: &mut u64) {
-        self.choose_wanted(context.now);
-        for position in self.order() {
-            let engaged_elsewhere = self.engaged_but(position);
+        self.update_wanted(context.now);
+        for position in self.lease_order() {
+            let other_held_or_pending = self.is_other_held_or_pending(position);
             let lease = &mut self.leases[position];
-            if let Some(request) = lease.poll(context.now, !engaged_elsewhere, &mut self.counters) {
+            if let Some(request) =
+                lease.poll(context.now, !other_held_or_pending, &mut self.counters)
+            {
                 *last_operation += 1;
                 let operation = OperationId(*last_operation);
                 self.operations[position] = Some(operation);
                 context.act(Action::Platform { operation, request });
             }
         }
-        self.report(context);
+        self.report_changes(context);
     }
 
-    /// Takes the platform's answer, if it is to a question of these leases.
+    /// Handles the platform's reply; false if it belongs to no request of these leases.
     pub fn platform_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -166,45 +170,45 @@
         result: &Result<PlatformResponse, PlatformFailure>,
         last_operation: &mut u64,
     ) -> bool {
-        let asked = self.operations.iter();
-        let Some(position) = asked
+        let in_flight = self.operations.iter();
+        let Some(position) = in_flight
             .into_iter()
-            .position(|asked| *asked == Some(operation))
+            .position(|in_flight| *in_flight == Some(operation))
         else {
             return false;
         };
         self.operations[position] = None;
         let jitter = context.random.random();
-        self.set_patience();
+        self.update_check_durations();
         self.leases[position].answered(context.now, result, jitter, &mut self.counters);
         self.timer_due(context, last_operation);
         true
     }
 
-    fn most_candidates(&self) -> usize {
+    fn max_candidates(&self) -> usize {
         self.parameters.readers_per_region + self.parameters.extra_candidates
     }
 
-    /// Candidates allowed now: one more for each interval in which the platform was not heard.
+    /// Candidates allowed now: one more for each interval without contact with the platform.
     fn allowed_candidates(&self, now: Timestamp) -> usize {
-        let silence = self.silence(now).as_millis();
+        let time_since_contact = self.time_since_contact(now).as_millis();
         let interval = self.parameters.escalation_interval.as_millis().max(1);
-        let extra = usize::try_from(silence / interval).unwrap_or(usize::MAX);
+        let extra = usize::try_from(time_since_contact / interval).unwrap_or(usize::MAX);
         self.parameters.readers_per_region + extra.min(self.parameters.extra_candidates)
     }
 
-    fn silence(&self, now: Timestamp) -> Duration {
-        let since = self.heard_at.max(self.started_at);
+    fn time_since_contact(&self, now: Timestamp) -> Duration {
+        let since = self.last_contact.max(self.started_at);
         since.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Knows no peer though it was given seeds.
-    fn is_cut_off(&self) -> bool {
-        let alone = self
+    /// Whether the node has seeds but knows no peer.
+    fn is_isolated(&self) -> bool {
+        let is_alone = self
             .view
             .as_ref()
             .is_none_or(|view| view.members().len() <= 1);
-        self.expects_peers && alone
+        self.has_seeds && is_alone
     }
 
     fn is_alive(&self, node: NodeId) -> bool {
@@ -212,15 +216,21 @@
         member.is_some_and(|member| member.state == MemberState::Alive)
     }
 
-    /// A lease whose holder is alive is looked at seldom: its death would be told by membership.
-    fn set_patience(&mut self) {
+    /// Lengthens the interval between reads of leases whose holder is alive, since membership
+    /// detects its failure.
+    fn update_check_durations(&mut self) {
         for position in 0..self.leases.len() {
             let holder = self.leases[position]
                 .last_seen()
                 .and_then(|(holder, _)| holder);
-            let quiet = self.is_cut_off() || holder.is_some_and(|holder| self.is_alive(holder));
-            let durations = if quiet { QUIET_PATIENCE } else { 1 };
-            self.leases[position].set_patience(durations);
+            let is_stable =
+                self.is_isolated() || holder.is_some_and(|holder| self.is_alive(holder));
+            let durations = if is_stable {
+                LIVE_HOLDER_CHECK_DURATIONS
+            } else {
+                1
+            };
+            self.leases[position].set_renewed_check_durations(durations);
         }
     }
 
@@ -228,9 +238,9 @@
         self.ranking.iter().position(|ranked| *ranked == self.own)
     }
 
-    fn grace_ends(&self) -> Option<Timestamp> {
+    fn candidacy_starts_at(&self) -> Option<Timestamp> {
         let started_at = self.started_at?;
-        let waits = self.is_cut_off();
+        let waits = self.is_isolated();
         Some(if waits {
             started_at + self.parameters.join_grace
         } else {
@@ -239,26 +249,25 @@
     }
 
     fn is_candidate(&self, now: Timestamp) -> bool {
-        let grace_over = self.grace_ends().is_some_and(|ends| now >= ends);
+        let may_start = self.candidacy_starts_at().is_some_and(|at| now >= at);
         let allowed = self.allowed_candidates(now);
-        !self.leaving && grace_over && self.rank().is_some_and(|rank| rank < allowed)
+        !self.leaving && may_start && self.rank().is_some_and(|rank| rank < allowed)
     }
 
-    /// When a node in the ranking that wants no lease yet comes to want one.
+    /// When this node becomes a candidate, if it is in the ranking and wants no lease yet.
     fn next_candidacy(&self) -> Option<Timestamp> {
         if self.leaving || self.leases.iter().any(Lease::is_wanted) {
             return None;
         }
         let rank = self.rank()?;
-        let behind = (rank + 1).saturating_sub(self.parameters.readers_per_region) as u32;
-        let since = self.heard_at.max(self.started_at)?;
-        let escalated = since + self.parameters.escalation_interval * behind;
-        Some(escalated.max(self.grace_ends()?))
+        let escalations = (rank + 1).saturating_sub(self.parameters.readers_per_region) as u32;
+        let since = self.last_contact.max(self.started_at)?;
+        let escalated = since + self.parameters.escalation_interval * escalations;
+        Some(escalated.max(self.candidacy_starts_at()?))
     }
 
-    /// A node that holds one lease wants no other; one that leaves wants none. A holder keeps its
-    /// lease though others come to rank before it.
-    fn choose_wanted(&mut self, now: Timestamp) {
+    /// A holder wants only the lease that it holds, whatever its rank; a leaving node wants none.
+    fn update_wanted(&mut self, now: Timestamp) {
         let held = self
             .leases
             .iter()
@@ -273,27 +282,27 @@
         }
     }
 
-    /// Leases in the order in which this node tries them: each rank begins with another.
-    fn order(&self) -> Vec<usize> {
+    /// Leases in the order in which this node tries them. Each rank begins with another lease.
+    fn lease_order(&self) -> Vec<usize> {
         let count = self.leases.len();
         let first = self.rank().unwrap_or(0);
         (0..count).map(|offset| (first + offset) % count).collect()
     }
 
-    fn engaged_but(&self, position: usize) -> bool {
+    fn is_other_held_or_pending(&self, position: usize) -> bool {
         let mut leases = self.leases.iter().enumerate();
         leases.any(|(other, lease)| other != position && lease.is_engaged())
     }
 
-    fn report(&mut self, context: &mut Context<'_>) {
+    fn report_changes(&mut self, context: &mut Context<'_>) {
         let held = self
             .leases
             .iter()
             .position(|lease| lease.held(context.now).is_some());
-        if held == self.held {
+        if held == self.reported_held {
             return;
         }
-        for (position, is_held) in [(self.held, false), (held, true)] {
+        for (position, is_held) in [(self.reported_held, false), (held, true)] {
             if let Some(position) = position {
                 let lease = &self.leases[position];
                 context.act(Action::StateChanged(StateChange::LeaseChanged {
@@ -303,6 +312,6 @@
                 }));
             }
         }
-        self.held = held;
+        self.reported_held = held;
     }
 }
