--- a/crates/thornbridge-core/src/operator/approve.rs
+++ b/crates/thornbridge-core/src/operator/approve.rs
@@ -1,6 +1,6 @@
-//! Approving: the published bundle is read and checked, then its version and digest are signed.
+//! Approval: reads and checks the published bundle, then stores its signed version and digest.
 
-use super::exchange::{self, Answer, Flow, Next};
+use super::exchange::{self, Flow, NextStep, Reply};
 use super::{OperatorError, OperatorOutcome};
 use thornbridge_config::approval::{Approval, SigningKey};
 use thornbridge_config::canonical;
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     ReadingBundle,
-    Looking,
+    ReadingApproval,
     Writing,
     ReadingBack,
 }
@@ -45,44 +45,44 @@
         }
     }
 
-    fn read_approval(&self) -> Next {
+    fn read_approval(&self) -> NextStep {
         exchange::get(ObjectKind::Approval, self.version.as_str())
     }
 
-    fn bundle_read(&mut self, object: Option<StoredObject>) -> Next {
+    fn bundle_read(&mut self, object: Option<StoredObject>) -> NextStep {
         match checked_digest(&self.version, object) {
             Ok(digest) => {
                 let version = self.version.clone();
                 self.approval = Some(Approval::signed(&self.key_id, &self.key, version, digest));
-                self.stage = Stage::Looking;
+                self.stage = Stage::ReadingApproval;
                 self.read_approval()
             }
-            Err(error) => Next::done(Err(error)),
+            Err(error) => NextStep::done(Err(error)),
         }
     }
 
-    /// Writes unless the same approval stands. An approval by another key is replaced: this is
-    /// how a version stays usable when keys change.
-    fn approval_looked_up(&mut self, object: Option<StoredObject>) -> Next {
+    /// Writes the approval unless the same one is stored. An approval by another key is replaced, so
+    /// that a version stays valid after a change of keys.
+    fn approval_read(&mut self, object: Option<StoredObject>) -> NextStep {
         let Some(object) = object else {
             return self.write(Precondition::Absent);
         };
         if self.is_own(&object) {
-            return Next::done(Ok(self.outcome()));
+            return NextStep::done(Ok(self.outcome()));
         }
         self.write(Precondition::Version(object.resource_version))
     }
 
-    fn read_back(&mut self, object: Option<StoredObject>) -> Next {
+    fn read_back(&mut self, object: Option<StoredObject>) -> NextStep {
         match object {
-            Some(object) if self.is_own(&object) => Next::done(Ok(self.outcome())),
-            Some(_) | None if self.in_doubt => Next::ReadAgain,
-            Some(object) => Next::done(Err(self.lost_to(&object))),
-            None => Next::ReadAgain,
+            Some(object) if self.is_own(&object) => NextStep::done(Ok(self.outcome())),
+            Some(_) | None if self.in_doubt => NextStep::RetryRead,
+            Some(object) => NextStep::done(Err(self.conflict_error(&object))),
+            None => NextStep::RetryRead,
         }
     }
 
-    fn write(&mut self, precondition: Precondition) -> Next {
+    fn write(&mut self, precondition: Precondition) -> NextStep {
         self.stage = Stage::Writing;
         let name = self.version.as_str();
         exchange::put(ObjectKind::Approval, name, &self.approval, precondition)
@@ -93,7 +93,7 @@
         stored.is_ok_and(|stored| Some(stored) == self.approval)
     }
 
-    fn lost_to(&self, object: &StoredObject) -> OperatorError {
+    fn conflict_error(&self, object: &StoredObject) -> OperatorError {
         match exchange::decode::<Approval>(object) {
             Ok(approval) => OperatorError::ApprovedByAnother {
                 version: self.version.clone(),
@@ -105,15 +105,17 @@
 
     fn outcome(&self) -> OperatorOutcome {
         let approval = self.approval.clone();
-        OperatorOutcome::Approved(approval.expect("signed before it is written or compared"))
+        OperatorOutcome::Approved(
+            approval.expect("the approval is signed before it is written or compared"),
+        )
     }
 
-    fn step(&self) -> String {
+    fn description(&self) -> String {
         format!("approving version {}", self.version)
     }
 }
 
-/// The digest of a published bundle, worked out from its content and equal to the stated one.
+/// Digest of a published bundle, computed from the content and checked against the stated one.
 pub(super) fn checked_digest(
     version: &BundleVersion,
     object: Option<StoredObject>,
@@ -128,7 +130,7 @@
     };
     if published.bundle.version != *version {
         return Err(malformed(format!(
-            "it holds version {}",
+            "expected version {version}, found {}",
             published.bundle.version
         )));
     }
@@ -149,23 +151,23 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         exchange::get(ObjectKind::Bundle, self.version.as_str())
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        match answer {
-            Answer::Object(object) => match self.stage {
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        match reply {
+            Reply::Object(object) => match self.stage {
                 Stage::ReadingBundle => self.bundle_read(object),
-                Stage::Looking => self.approval_looked_up(object),
+                Stage::ReadingApproval => self.approval_read(object),
                 Stage::Writing | Stage::ReadingBack => self.read_back(object),
             },
-            Answer::Written => Next::done(Ok(self.outcome())),
-            Answer::Conflict => {
+            Reply::Written => NextStep::done(Ok(self.outcome())),
+            Reply::Conflict => {
                 self.stage = Stage::ReadingBack;
                 self.read_approval()
             }
-            Answer::Lost => {
+            Reply::Lost => {
                 self.stage = Stage::ReadingBack;
                 self.in_doubt = true;
                 self.read_approval()
@@ -173,13 +175,16 @@
         }
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         if self.in_doubt {
             return Err(OperatorError::OutcomeUnknown {
-                step: self.step(),
+                step: self.description(),
                 change: self.change.clone(),
             });
         }
-        Err(exchange::unavailable(&self.step(), failure))
+        Err(exchange::unavailable(&self.description(), failure))
     }
 }
--- a/crates/thornbridge-core/src/operator/error.rs
+++ b/crates/thornbridge-core/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked.
+//! Errors of operator commands.
 
 use snafu::Snafu;
 use std::fmt;
@@ -17,7 +17,7 @@
 }
 
 impl StoredName {
-    /// A name.
+    /// An object name.
     pub fn new(kind: ObjectKind, name: &str) -> Self {
         Self {
             kind,
@@ -32,53 +32,53 @@
     }
 }
 
-/// The classes of failure that scripts tell apart, one exit code each.
+/// Classes of failure, each with its own exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorErrorKind {
-    /// Nothing changed; the store is away or its content is damaged. Exit code 1.
+    /// Nothing changed: the store is unavailable or its content is invalid. Exit code 1.
     Failed,
-    /// The command is not one that can be done as given. Exit code 2.
+    /// Nothing changed: the command is invalid. Exit code 2.
     Invalid,
-    /// Nothing changed: another was first, or a rule forbids it. Exit code 3.
+    /// Nothing changed: a concurrent change or a rule prevents the command. Exit code 3.
     Refused,
-    /// The change may or may not have taken effect. Exit code 4.
+    /// The command may have taken effect or may still do so. Exit code 4.
     Unknown,
 }
 
-/// A command did not do what was asked.
+/// Error of an operator command.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(super)))]
 pub enum OperatorError {
-    /// The store stayed away; nothing changed.
+    /// The store was unavailable until the last retry; nothing changed.
     #[snafu(display("{step}: {detail}; nothing was changed"))]
     StoreUnavailable {
-        /// What was being done.
+        /// Step of the command.
         step: String,
-        /// How the store failed.
+        /// Failure of the store.
         detail: String,
     },
-    /// The store refused a request; nothing changed by it.
+    /// The store refused a request; the request changed nothing.
     #[snafu(display("{step}: the store refused: {detail}"))]
     StoreRefused {
-        /// What was being done.
+        /// Step of the command.
         step: String,
-        /// The store's words.
+        /// Message of the store.
         detail: String,
     },
-    /// An object in the store is not what it should be.
+    /// An object in the store is invalid.
     #[snafu(display("{object} is malformed: {detail}"))]
     Malformed {
-        /// The object.
+        /// Kind and name of the object.
         object: StoredName,
-        /// How.
+        /// Cause.
         detail: String,
     },
-    /// An object cannot be written as JSON.
+    /// An object cannot be encoded as JSON.
     #[snafu(display("{object} cannot be encoded: {detail}"))]
     Encode {
-        /// The object.
+        /// Kind and name of the object.
         object: StoredName,
-        /// How.
+        /// Cause.
         detail: String,
     },
     /// The version is not in the store.
@@ -87,7 +87,7 @@
         /// Version.
         version: BundleVersion,
     },
-    /// The version is in the store with another content.
+    /// The version is in the store with different content.
     #[snafu(display(
         "version {version} is already published with digest {published}, not {own}; give the new content a new version"
     ))]
@@ -96,17 +96,17 @@
         version: BundleVersion,
         /// Digest in the store.
         published: Digest,
-        /// Digest of what was to be published.
+        /// Digest of the bundle to publish.
         own: Digest,
     },
-    /// A published bundle does not have the digest that it is stored with.
+    /// A published bundle does not match its stated digest.
     #[snafu(display("published version {version} has digest {found}, not {stated}"))]
     DigestMismatch {
         /// Version.
         version: BundleVersion,
-        /// Digest worked out from its content.
+        /// Digest of the content.
         found: Digest,
-        /// Digest stated.
+        /// Stated digest.
         stated: Digest,
     },
     /// The version has no approval.
@@ -115,29 +115,29 @@
         /// Version.
         version: BundleVersion,
     },
-    /// The approval does not hold.
+    /// The approval is invalid.
     #[snafu(display("version {version} is not validly approved: {source}"))]
     ApprovalRefused {
         /// Version.
         version: BundleVersion,
-        /// Why.
+        /// Cause.
         source: ApprovalError,
     },
-    /// Another approval took the place.
-    #[snafu(display("version {version} was approved with key {key_id:?} meanwhile"))]
+    /// A concurrent approval with another key was stored.
+    #[snafu(display("version {version} was concurrently approved with key {key_id:?}"))]
     ApprovedByAnother {
         /// Version.
         version: BundleVersion,
         /// Key of the approval in the store.
         key_id: String,
     },
-    /// Another operator put a generation in force first.
-    #[snafu(display("another was first: {}", describe_entry(Some(winner))))]
+    /// Another operator activated a generation first.
+    #[snafu(display("another rollout was first: {}", describe_entry(Some(winner))))]
     LostRace {
-        /// The generation that won, and who put it in force.
+        /// History entry of the generation that was activated.
         winner: Box<RolloutHistory>,
     },
-    /// The generation in force is not the expected one.
+    /// The active generation is not the expected one.
     #[snafu(display(
         "generation {expected} is not in force: {}",
         describe_entry(found.as_deref())
@@ -145,10 +145,10 @@
     UnexpectedGeneration {
         /// Expected by the operator.
         expected: Generation,
-        /// In force; absent before the first.
+        /// Active generation; `None` before the first.
         found: Option<Box<RolloutHistory>>,
     },
-    /// Exactly this is in force already.
+    /// The version is already active with the same approval.
     #[snafu(display("version {version} is already in force as generation {generation}"))]
     AlreadyActive {
         /// Version.
@@ -156,35 +156,35 @@
         /// Generation.
         generation: Generation,
     },
-    /// Automation is kept out.
+    /// Rollouts by automation are refused by a hold.
     #[snafu(display("rollouts are held by {holder}: {reason}"))]
     Held {
-        /// Who holds.
+        /// Holder of the hold.
         holder: String,
-        /// Why.
+        /// Reason of the hold.
         reason: String,
     },
-    /// There was no rollout yet.
+    /// There has been no rollout.
     #[snafu(display("nothing was ever rolled out"))]
     NoRollout,
-    /// There is no earlier generation with another version, or none with the version asked for.
+    /// The history has no earlier generation with another version, or with the requested one.
     #[snafu(display("there is no earlier version to roll back to"))]
     NothingToRollBackTo,
-    /// The register kept changing under the command.
+    /// Concurrent writes of the register exhausted the restarts.
     #[snafu(display("the rollout register kept changing; nothing was changed by this command"))]
     TooManyRestarts,
     /// A generation number would overflow.
     #[snafu(display("there is no generation after {last}"))]
     NoGenerationLeft {
-        /// The last one.
+        /// Last generation.
         last: Generation,
     },
-    /// The answer to a write was lost and the store does not show what came of it.
+    /// The reply to a write was lost and its outcome could not be read back.
     #[snafu(display("{step}: the outcome is unknown; it may yet take effect as change {change}"))]
     OutcomeUnknown {
-        /// What was being done.
+        /// Step of the command.
         step: String,
-        /// Change to look for.
+        /// Change id of the command.
         change: ChangeId,
     },
 }
@@ -201,7 +201,7 @@
 }
 
 impl OperatorError {
-    /// The class of the failure.
+    /// Class of the failure.
     pub fn kind(&self) -> OperatorErrorKind {
         match self {
             Self::StoreUnavailable { .. }
--- a/crates/thornbridge-core/src/operator/exchange.rs
+++ b/crates/thornbridge-core/src/operator/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer: which failures certainly changed nothing, and what a flow sees.
+//! Interface between a session and its flow: requests, replies, and retryable failures.
 
 use super::error::{OperatorError, StoredName};
 use super::{OperatorOutcome, OperatorSession};
@@ -9,46 +9,49 @@
     ObjectKind, PlatformFailure, PlatformRequest, PlatformResponse, Precondition, StoredObject,
 };
 
-/// What a flow is told of its last request.
+/// Reply to the last request of a flow.
 #[derive(Debug)]
-pub(super) enum Answer {
-    /// A read: the object, absent where there is none.
+pub(super) enum Reply {
+    /// The object read; `None` if it does not exist.
     Object(Option<StoredObject>),
-    /// A write took effect.
+    /// The write took effect.
     Written,
-    /// A write did not take effect: its precondition did not hold when it was last tried.
+    /// The precondition of the write failed.
     Conflict,
-    /// A write may have taken effect, or may yet do so.
+    /// The outcome of the write is unknown; a delayed write can still take effect.
     Lost,
 }
 
-/// What a flow wants next.
+/// NextStep step of a flow.
 #[derive(Debug)]
-pub(super) enum Next {
-    /// Ask this.
-    Ask(PlatformRequest),
-    /// Ask the last request, a read, once more after a pause.
-    ReadAgain,
-    /// The command ended.
+pub(super) enum NextStep {
+    /// Send a request.
+    Request(PlatformRequest),
+    /// Repeat the last request, a read, after a backoff.
+    RetryRead,
+    /// The command has ended.
     Done(Box<Result<OperatorOutcome, OperatorError>>),
 }
 
-impl Next {
+impl NextStep {
     pub(super) fn done(result: Result<OperatorOutcome, OperatorError>) -> Self {
         Self::Done(Box::new(result))
     }
 }
 
-/// One command's steps. Driven by [`OperatorSession`].
+/// State machine of one command, driven by [`OperatorSession`].
 pub(super) trait Flow: Debug + Send {
-    /// A copy at the same step.
+    /// Clones the flow in its current state.
     fn boxed_clone(&self) -> Box<dyn Flow>;
-    /// The first request.
-    fn begin(&mut self) -> Next;
-    /// Takes the answer to the last request.
-    fn answer(&mut self, answer: Answer) -> Next;
-    /// The store stayed away, or did not show the outcome of a write, for too long.
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError>;
+    /// Returns the first request.
+    fn start(&mut self) -> NextStep;
+    /// Handles the reply to the last request.
+    fn handle_reply(&mut self, reply: Reply) -> NextStep;
+    /// Returns the result of the command after the last retry.
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError>;
 }
 
 impl Clone for Box<dyn Flow> {
@@ -57,30 +60,30 @@
     }
 }
 
-/// Turns the platform's reply into an answer, or gives back a failure that the session handles.
+/// Converts a platform result into a reply, or returns a failure that the session handles.
 pub(super) fn classify(
-    asked: &PlatformRequest,
+    request: &PlatformRequest,
     result: Result<PlatformResponse, PlatformFailure>,
-) -> Result<Answer, PlatformFailure> {
+) -> Result<Reply, PlatformFailure> {
     match result {
-        Ok(PlatformResponse::Object(object)) => Ok(Answer::Object(object)),
-        Ok(PlatformResponse::Written { .. }) => Ok(Answer::Written),
+        Ok(PlatformResponse::Object(object)) => Ok(Reply::Object(object)),
+        Ok(PlatformResponse::Written { .. }) => Ok(Reply::Written),
         Ok(PlatformResponse::Objects { .. } | PlatformResponse::Machines(_)) => {
             Err(PlatformFailure::Refused {
-                detail: "an answer of another kind than asked for".to_owned(),
+                detail: format!("unexpected kind of reply to {}", describe(request)),
             })
         }
-        Err(PlatformFailure::Conflict { .. }) => Ok(Answer::Conflict),
-        Err(PlatformFailure::NoAnswer) if is_write(asked) => Ok(Answer::Lost),
+        Err(PlatformFailure::Conflict { .. }) => Ok(Reply::Conflict),
+        Err(PlatformFailure::NoAnswer) if is_write(request) => Ok(Reply::Lost),
         Err(failure) => Err(failure),
     }
 }
 
-/// Whether a request that failed so may be sent again as it was.
-pub(super) fn changed_nothing(asked: &PlatformRequest, failure: &PlatformFailure) -> bool {
+/// Whether a request certainly had no effect and can be sent again.
+pub(super) fn is_safe_to_retry(request: &PlatformRequest, failure: &PlatformFailure) -> bool {
     match failure {
         PlatformFailure::Unreachable | PlatformFailure::TooManyReaders => true,
-        PlatformFailure::NoAnswer => !is_write(asked),
+        PlatformFailure::NoAnswer => !is_write(request),
         PlatformFailure::Conflict { .. } | PlatformFailure::Refused { .. } => false,
     }
 }
@@ -89,19 +92,19 @@
     matches!(request, PlatformRequest::Put { .. })
 }
 
-/// The error of a request that the store refused.
-pub(super) fn error_of(asked: &PlatformRequest, failure: PlatformFailure) -> OperatorError {
+/// Error of a request that the store refused.
+pub(super) fn store_error(request: &PlatformRequest, failure: PlatformFailure) -> OperatorError {
     let detail = match failure {
         PlatformFailure::Refused { detail } => detail,
         other => format!("{other:?}"),
     };
     OperatorError::StoreRefused {
-        step: describe(asked),
+        step: describe(request),
         detail,
     }
 }
 
-/// A request in words, for errors.
+/// Description of a request for error messages.
 pub(super) fn describe(request: &PlatformRequest) -> String {
     match request {
         PlatformRequest::Get { kind, name } => format!("reading {}/{name}", kind.as_str()),
@@ -111,36 +114,36 @@
     }
 }
 
-/// A read of one object.
-pub(super) fn get(kind: ObjectKind, name: &str) -> Next {
-    Next::Ask(PlatformRequest::Get {
+/// Request for an object.
+pub(super) fn get(kind: ObjectKind, name: &str) -> NextStep {
+    NextStep::Request(PlatformRequest::Get {
         kind,
         name: name.to_owned(),
     })
 }
 
-/// A write of one object.
+/// Request to write an object as JSON.
 pub(super) fn put<T: Serialize>(
     kind: ObjectKind,
     name: &str,
     value: &T,
     precondition: Precondition,
-) -> Next {
+) -> NextStep {
     match serde_json::to_string(value) {
-        Ok(body) => Next::Ask(PlatformRequest::Put {
+        Ok(body) => NextStep::Request(PlatformRequest::Put {
             kind,
             name: name.to_owned(),
             body,
             precondition,
         }),
-        Err(error) => Next::done(Err(OperatorError::Encode {
+        Err(error) => NextStep::done(Err(OperatorError::Encode {
             object: StoredName::new(kind, name),
             detail: error.to_string(),
         })),
     }
 }
 
-/// The content of an object read from the store.
+/// Decodes the body of a stored object.
 pub(super) fn decode<T: DeserializeOwned>(object: &StoredObject) -> Result<T, OperatorError> {
     serde_json::from_str(&object.body).map_err(|error| OperatorError::Malformed {
         object: StoredName::new(object.kind, &object.name),
@@ -148,7 +151,7 @@
     })
 }
 
-/// The error of a command that ended before it wrote anything.
+/// Error of a command that ended before any write.
 pub(super) fn unavailable(step: &str, failure: &PlatformFailure) -> OperatorError {
     OperatorError::StoreUnavailable {
         step: step.to_owned(),
--- a/crates/thornbridge-core/src/operator/history.rs
+++ b/crates/thornbridge-core/src/operator/history.rs
@@ -1,26 +1,26 @@
-//! Reading: the register, and the last generations.
+//! Reads of the rollout register and of the history.
 
-use super::exchange::{self, Answer, Flow, Next};
-use super::register::{self, RegisterSeen};
+use super::exchange::{self, Flow, NextStep, Reply};
+use super::register::{self, StoredRegister};
 use super::{OperatorError, OperatorOutcome};
 use thornbridge_config::objects::RolloutHistory;
 use thornbridge_proto::Generation;
 use thornbridge_proto::platform::{ObjectKind, PlatformFailure};
 
-/// Name of a generation's history entry.
+/// Object name of a history entry.
 pub(super) fn entry_name(generation: Generation) -> String {
     generation.0.to_string()
 }
 
-/// A read of one generation's entry.
-pub(super) fn read_entry(generation: Generation) -> Next {
+/// Request for the history entry of a generation.
+pub(super) fn read_entry(generation: Generation) -> NextStep {
     exchange::get(ObjectKind::History, &entry_name(generation))
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct HistoryFlow {
     limit: usize,
-    next: Option<Generation>,
+    last_read: Option<Generation>,
     entries: Vec<RolloutHistory>,
 }
 
@@ -28,30 +28,30 @@
     pub(super) fn new(limit: usize) -> Self {
         Self {
             limit,
-            next: None,
+            last_read: None,
             entries: Vec::new(),
         }
     }
 
-    /// The register itself gives the newest entry, whether or not it is in the history yet.
-    fn register_read(&mut self, register: Option<RegisterSeen>) -> Next {
+    /// Takes the newest entry from the register, since its history entry can be missing.
+    fn register_read(&mut self, register: Option<StoredRegister>) -> NextStep {
         if let Some(register) = register {
             let generation = register.rollout.current.generation;
             self.entries.push(register.rollout.history());
-            self.next = Some(generation);
+            self.last_read = Some(generation);
         }
-        self.go_on()
+        self.read_next()
     }
 
-    fn go_on(&mut self) -> Next {
-        let before = self.next.map_or(0, |generation| generation.0 - 1);
+    fn read_next(&mut self) -> NextStep {
+        let before = self.last_read.map_or(0, |generation| generation.0 - 1);
         if before == 0 || self.entries.len() >= self.limit {
             self.entries.truncate(self.limit);
-            return Next::done(Ok(OperatorOutcome::History(std::mem::take(
+            return NextStep::done(Ok(OperatorOutcome::History(std::mem::take(
                 &mut self.entries,
             ))));
         }
-        self.next = Some(Generation(before));
+        self.last_read = Some(Generation(before));
         read_entry(Generation(before))
     }
 }
@@ -61,30 +61,33 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         register::read()
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        let Answer::Object(object) = answer else {
-            return Next::ReadAgain;
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        let Reply::Object(object) = reply else {
+            return NextStep::RetryRead;
         };
-        if self.next.is_none() {
-            return match register::seen(object) {
+        if self.last_read.is_none() {
+            return match register::decode(object) {
                 Ok(register) => self.register_read(register),
-                Err(error) => Next::done(Err(error)),
+                Err(error) => NextStep::done(Err(error)),
             };
         }
         let entry = object.as_ref().map(exchange::decode::<RolloutHistory>);
         match entry {
-            Some(Err(error)) => return Next::done(Err(error)),
+            Some(Err(error)) => return NextStep::done(Err(error)),
             Some(Ok(entry)) => self.entries.push(entry),
             None => {}
         }
-        self.go_on()
+        self.read_next()
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         Err(exchange::unavailable("reading the history", failure))
     }
 }
@@ -97,19 +100,24 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         register::read()
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        let Answer::Object(object) = answer else {
-            return Next::ReadAgain;
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        let Reply::Object(object) = reply else {
+            return NextStep::RetryRead;
         };
-        let register = register::seen(object);
-        Next::done(register.map(|seen| OperatorOutcome::Current(seen.map(|seen| seen.rollout))))
+        let register = register::decode(object);
+        NextStep::done(
+            register.map(|stored| OperatorOutcome::Current(stored.map(|stored| stored.rollout))),
+        )
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         Err(exchange::unavailable("reading the register", failure))
     }
 }
--- a/crates/thornbridge-core/src/operator/hold.rs
+++ b/crates/thornbridge-core/src/operator/hold.rs
@@ -1,7 +1,7 @@
-//! Holding rollouts against automation, and releasing them. The generation stays as it is.
+//! Hold and release of rollouts by automation; the generation does not change.
 
-use super::exchange::{self, Answer, Flow, Next};
-use super::register::{self, RegisterSeen};
+use super::exchange::{self, Flow, NextStep, Reply};
+use super::register::{self, StoredRegister};
 use super::{OperatorError, OperatorOutcome};
 use thornbridge_config::objects::RolloutHold;
 use thornbridge_proto::ChangeId;
@@ -9,17 +9,17 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct HoldFlow {
-    wanted: Option<RolloutHold>,
+    hold: Option<RolloutHold>,
     change: ChangeId,
     restarts: u32,
-    base: Option<RegisterSeen>,
+    base: Option<StoredRegister>,
     in_doubt: bool,
 }
 
 impl HoldFlow {
-    pub(super) fn new(wanted: Option<RolloutHold>, change: ChangeId, restarts: u32) -> Self {
+    pub(super) fn new(hold: Option<RolloutHold>, change: ChangeId, restarts: u32) -> Self {
         Self {
-            wanted,
+            hold,
             change,
             restarts,
             base: None,
@@ -27,58 +27,58 @@
         }
     }
 
-    fn register_read(&mut self, object: Option<StoredObject>) -> Next {
-        let seen = match register::seen(object) {
-            Ok(Some(seen)) => seen,
-            Ok(None) => return Next::done(Err(OperatorError::NoRollout)),
-            Err(error) => return Next::done(Err(error)),
+    fn register_read(&mut self, object: Option<StoredObject>) -> NextStep {
+        let stored = match register::decode(object) {
+            Ok(Some(stored)) => stored,
+            Ok(None) => return NextStep::done(Err(OperatorError::NoRollout)),
+            Err(error) => return NextStep::done(Err(error)),
         };
-        if seen.is_by(&self.change) || seen.rollout.hold == self.wanted {
-            return Next::done(Ok(self.outcome()));
+        if stored.is_by(&self.change) || stored.rollout.hold == self.hold {
+            return NextStep::done(Ok(self.outcome()));
         }
-        if let (Some(hold), Some(_)) = (&seen.rollout.hold, &self.wanted) {
-            return Next::done(Err(OperatorError::Held {
+        if let (Some(hold), Some(_)) = (&stored.rollout.hold, &self.hold) {
+            return NextStep::done(Err(OperatorError::Held {
                 holder: hold.holder.clone(),
                 reason: hold.reason.clone(),
             }));
         }
-        if self.in_doubt && self.unchanged(&seen) {
-            return Next::ReadAgain;
+        if self.in_doubt && self.unchanged(&stored) {
+            return NextStep::RetryRead;
         }
-        self.write(seen)
+        self.write(stored)
     }
 
-    fn unchanged(&self, seen: &RegisterSeen) -> bool {
+    fn unchanged(&self, stored: &StoredRegister) -> bool {
         let base = self.base.as_ref();
-        base.is_some_and(|base| base.resource_version == seen.resource_version)
+        base.is_some_and(|base| base.resource_version == stored.resource_version)
     }
 
-    /// Reached only when no earlier write of this command can take effect any more: the register
-    /// has left the version that the write depended on.
-    fn write(&mut self, seen: RegisterSeen) -> Next {
+    /// Writes the register. An earlier write of this command can no longer take effect, since the
+    /// resource version in its precondition has changed.
+    fn write(&mut self, stored: StoredRegister) -> NextStep {
         if self.base.is_some() {
             if self.restarts == 0 {
-                return Next::done(Err(OperatorError::TooManyRestarts));
+                return NextStep::done(Err(OperatorError::TooManyRestarts));
             }
             self.restarts -= 1;
         }
         self.in_doubt = false;
-        let mut rollout = seen.rollout.clone();
-        rollout.hold.clone_from(&self.wanted);
+        let mut rollout = stored.rollout.clone();
+        rollout.hold.clone_from(&self.hold);
         rollout.written_by = self.change.clone();
-        let base = self.base.insert(seen);
+        let base = self.base.insert(stored);
         register::write(Some(base), &rollout)
     }
 
     fn outcome(&self) -> OperatorOutcome {
-        match &self.wanted {
+        match &self.hold {
             Some(hold) => OperatorOutcome::Held(hold.clone()),
             None => OperatorOutcome::Released,
         }
     }
 
-    fn step(&self) -> &'static str {
-        match self.wanted {
+    fn description(&self) -> &'static str {
+        match self.hold {
             Some(_) => "holding rollouts",
             None => "releasing rollouts",
         }
@@ -90,29 +90,32 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         register::read()
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        match answer {
-            Answer::Object(object) => self.register_read(object),
-            Answer::Written => Next::done(Ok(self.outcome())),
-            Answer::Conflict => register::read(),
-            Answer::Lost => {
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        match reply {
+            Reply::Object(object) => self.register_read(object),
+            Reply::Written => NextStep::done(Ok(self.outcome())),
+            Reply::Conflict => register::read(),
+            Reply::Lost => {
                 self.in_doubt = true;
                 register::read()
             }
         }
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         if self.in_doubt {
             return Err(OperatorError::OutcomeUnknown {
-                step: self.step().to_owned(),
+                step: self.description().to_owned(),
                 change: self.change.clone(),
             });
         }
-        Err(exchange::unavailable(self.step(), failure))
+        Err(exchange::unavailable(self.description(), failure))
     }
 }
--- a/crates/thornbridge-core/src/operator/mod.rs
+++ b/crates/thornbridge-core/src/operator/mod.rs
@@ -1,11 +1,11 @@
-//! Operators' commands as state machines without I/O: publish, approve, roll out, hold, history.
+//! Operator commands as state machines without I/O: publish, approve, roll out, hold, history.
 //!
-//! An [`OperatorSession`] asks for one platform request at a time; the driver carries it out and
-//! hands the answer to [`OperatorSession::step`]. The command line drives it over HTTP, the
-//! rehearsal in virtual time.
+//! An [`OperatorSession`] issues one platform request at a time; the driver executes it and passes
+//! the reply to [`OperatorSession::step`]. The command line drives sessions over HTTP, the
+//! simulator in virtual time.
 //!
-//! No write is sent twice unless the first certainly had no effect. After a lost answer the
-//! session reads back and recognises its own change by its [`ChangeId`] or by its content.
+//! A write is sent again only if the first one certainly had no effect. After a lost reply the
+//! session reads the object back and recognises its own change by its [`ChangeId`] or content.
 
 mod approve;
 mod error;
@@ -19,7 +19,7 @@
 
 pub use error::{OperatorError, OperatorErrorKind, StoredName};
 
-use exchange::{Answer, Flow, Next};
+use exchange::{Flow, NextStep, Reply};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thornbridge_config::approval::{Approval, SigningKey, TrustedKey};
@@ -29,115 +29,114 @@
 use thornbridge_proto::platform::{PlatformFailure, PlatformRequest, PlatformResponse};
 use thornbridge_proto::{BundleVersion, ChangeId, Digest, Generation};
 
-/// What an operator wants done.
+/// A command of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorCommand {
-    /// Store a bundle under its version, once.
+    /// Store a bundle under its version; a version is never overwritten.
     Publish {
         /// The bundle, already validated.
         bundle: Bundle,
     },
-    /// Sign a published version.
+    /// Sign a published version and store the approval.
     Approve {
         /// Version to approve.
         version: BundleVersion,
-        /// Name of the key, as in the nodes' trusted list.
+        /// Id of the key in the nodes' list of trusted keys.
         key_id: String,
         /// The secret key.
         key: SigningKey,
     },
-    /// Put an approved version in force.
+    /// Activate an approved version.
     RolloutStart(RolloutRequest),
-    /// Put an earlier version in force again, as a new generation.
+    /// Activate an earlier version again, as a new generation.
     RolloutRollback {
-        /// Version to go back to; the one in force before the present one where absent.
+        /// Version to activate; `None` for the one active before the current one.
         version: Option<BundleVersion>,
-        /// Who asks.
+        /// Author of the rollout.
         origin: RolloutOrigin,
-        /// Keys that may approve.
+        /// Keys whose approvals are valid.
         trusted_keys: Vec<TrustedKey>,
     },
-    /// Keep automation out.
+    /// Refuse rollouts by automation.
     RolloutHold(RolloutHold),
-    /// Let automation in again.
+    /// Allow rollouts by automation again.
     RolloutRelease,
     /// Read the last generations, newest first.
     History {
-        /// Most entries wanted.
+        /// Most entries to read.
         limit: usize,
     },
-    /// Read the register.
+    /// Read the rollout register.
     Current,
 }
 
-/// A rollout to be made.
+/// Request for a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutRequest {
-    /// Version to put in force.
+    /// Version to activate.
     pub version: BundleVersion,
-    /// Who asks.
+    /// Author of the rollout.
     pub origin: RolloutOrigin,
-    /// Refuse unless this generation is in force.
+    /// Refuse unless this generation is active.
     pub expected: Option<Generation>,
-    /// Keys that may approve.
+    /// Keys whose approvals are valid.
     pub trusted_keys: Vec<TrustedKey>,
 }
 
-/// What a command came to.
+/// Result of a successful command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorOutcome {
     /// The bundle is in the store.
     Published {
-        /// Version.
+        /// Published version.
         version: BundleVersion,
-        /// Digest.
+        /// Digest of the bundle.
         digest: Digest,
     },
     /// The approval is in the store.
     Approved(Approval),
-    /// The generation was put in force.
+    /// The generation is active.
     RolledOut {
-        /// The generation.
+        /// Record of the generation.
         record: GenerationRecord,
-        /// Whether its history entry was seen in the store. Where it was not, the next operator's
-        /// command writes it.
+        /// Whether the history entry is known to be in the store. If it is missing, the next rollout
+        /// writes it.
         history_written: bool,
     },
-    /// Automation is kept out.
+    /// Rollouts by automation are refused.
     Held(RolloutHold),
-    /// Automation is let in.
+    /// Rollouts by automation are allowed.
     Released,
     /// The last generations, newest first.
     History(Vec<RolloutHistory>),
-    /// The register; absent before the first rollout.
+    /// The rollout register; `None` before the first rollout.
     Current(Option<Rollout>),
 }
 
-/// What the driver does next.
+/// Next step of the driver.
 #[derive(Debug)]
 pub enum OperatorStep {
-    /// Carry out, and call [`OperatorSession::step`] with the answer.
+    /// Execute, then call [`OperatorSession::step`] with the result.
     Request(PlatformRequest),
-    /// Wait this long, and call [`OperatorSession::step`] with `None`.
+    /// Wait this long, then call [`OperatorSession::step`] with `None`.
     Wait(Duration),
-    /// The command ended.
+    /// The command has ended.
     Done(Result<OperatorOutcome, OperatorError>),
 }
 
-/// Tunable values.
+/// Retry parameters of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OperatorParameters {
-    /// First pause before a request is repeated; doubled each time.
+    /// Backoff before the first retry of a request; doubled each time.
     pub first_pause: Duration,
-    /// Longest pause: short beside an operator's patience, long beside a store's brief hiccup.
+    /// Longest backoff.
     pub longest_pause: Duration,
-    /// Most repetitions of one request that certainly changed nothing. With the pauses above, the
-    /// store may be away for about 20 s before a command fails.
+    /// Most retries of a request that certainly changed nothing.
     pub repetitions: u32,
-    /// Most times that a command starts over because the register changed under it without a
-    /// new generation, as by a hold.
+    /// Most restarts of a command after a concurrent write of the register without a new
+    /// generation, such as a hold.
     pub restarts: u32,
 }
 
@@ -152,22 +151,22 @@
     }
 }
 
-/// One command on its way.
+/// A running command.
 #[derive(Clone, Debug)]
 pub struct OperatorSession {
     parameters: OperatorParameters,
     flow: Box<dyn Flow>,
-    asked: Option<PlatformRequest>,
-    repeated: u32,
+    request: Option<PlatformRequest>,
+    retries: u32,
 }
 
 impl OperatorSession {
-    /// A session with default parameters. The change id must never have been used before.
+    /// A session with default parameters. The change id must be unique.
     pub fn new(command: OperatorCommand, change: ChangeId) -> Self {
         Self::with_parameters(command, change, OperatorParameters::default())
     }
 
-    /// A session with the given parameters.
+    /// A session with the given parameters. The change id must be unique.
     pub fn with_parameters(
         command: OperatorCommand,
         change: ChangeId,
@@ -176,69 +175,71 @@
         let restarts = parameters.restarts;
         Self {
             parameters,
-            flow: flow_of(command, change, restarts),
-            asked: None,
-            repeated: 0,
+            flow: new_flow(command, change, restarts),
+            request: None,
+            retries: 0,
         }
     }
 
-    /// Takes the answer to the last request, if there was one, and says what comes next.
+    /// Takes the result of the last request, or `None` at the start and after a wait.
     pub fn step(
         &mut self,
-        last: Option<Result<PlatformResponse, PlatformFailure>>,
+        reply: Option<Result<PlatformResponse, PlatformFailure>>,
     ) -> OperatorStep {
-        let Some(result) = last else {
-            return self.ask_again();
+        let Some(result) = reply else {
+            return self.resend();
         };
-        let Some(asked) = &self.asked else {
-            return self.ask_again();
+        let Some(request) = &self.request else {
+            return self.resend();
         };
-        match exchange::classify(asked, result) {
-            Ok(answer) => self.advance(answer),
-            Err(failure) if exchange::changed_nothing(asked, &failure) => self.pause(&failure),
-            Err(failure) => OperatorStep::Done(Err(exchange::error_of(asked, failure))),
+        match exchange::classify(request, result) {
+            Ok(reply) => self.advance(reply),
+            Err(failure) if exchange::is_safe_to_retry(request, &failure) => {
+                self.back_off(&failure)
+            }
+            Err(failure) => OperatorStep::Done(Err(exchange::store_error(request, failure))),
         }
     }
 
-    fn ask_again(&mut self) -> OperatorStep {
-        match self.asked.clone() {
+    fn resend(&mut self) -> OperatorStep {
+        match self.request.clone() {
             Some(request) => OperatorStep::Request(request),
             None => {
-                let next = self.flow.begin();
-                self.follow(next)
+                let next = self.flow.start();
+                self.apply_step(next)
             }
         }
     }
 
-    fn advance(&mut self, answer: Answer) -> OperatorStep {
-        let next = self.flow.answer(answer);
-        self.follow(next)
+    fn advance(&mut self, reply: Reply) -> OperatorStep {
+        let next = self.flow.handle_reply(reply);
+        self.apply_step(next)
     }
 
-    fn follow(&mut self, next: Next) -> OperatorStep {
+    fn apply_step(&mut self, next: NextStep) -> OperatorStep {
         match next {
-            Next::Ask(request) => {
-                self.repeated = 0;
-                self.asked = Some(request.clone());
+            NextStep::Request(request) => {
+                self.retries = 0;
+                self.request = Some(request.clone());
                 OperatorStep::Request(request)
             }
-            Next::ReadAgain => self.pause(&PlatformFailure::NoAnswer),
-            Next::Done(result) => OperatorStep::Done(*result),
+            NextStep::RetryRead => self.back_off(&PlatformFailure::NoAnswer),
+            NextStep::Done(result) => OperatorStep::Done(*result),
         }
     }
 
-    fn pause(&mut self, failure: &PlatformFailure) -> OperatorStep {
-        if self.repeated >= self.parameters.repetitions {
-            return OperatorStep::Done(self.flow.give_up(failure));
+    fn back_off(&mut self, failure: &PlatformFailure) -> OperatorStep {
+        if self.retries >= self.parameters.repetitions {
+            return OperatorStep::Done(self.flow.retries_exhausted(failure));
         }
-        let factor = 1 << self.repeated.min(16);
-        self.repeated += 1;
-        let pause = self.parameters.first_pause.saturating_mul(factor);
-        OperatorStep::Wait(pause.min(self.parameters.longest_pause))
+        let factor = 1 << self.retries.min(16);
+        self.retries += 1;
+        let backoff = self.parameters.first_pause.saturating_mul(factor);
+        OperatorStep::Wait(backoff.min(self.parameters.longest_pause))
     }
 }
 
-fn flow_of(command: OperatorCommand, change: ChangeId, restarts: u32) -> Box<dyn Flow> {
+fn new_flow(command: OperatorCommand, change: ChangeId, restarts: u32) -> Box<dyn Flow> {
     match command {
         OperatorCommand::Publish { bundle } => Box::new(publish::Publish::new(bundle, change)),
         OperatorCommand::Approve {
--- a/crates/thornbridge-core/src/operator/publish.rs
+++ b/crates/thornbridge-core/src/operator/publish.rs
@@ -1,6 +1,6 @@
-//! Publishing: a bundle is created once under its version and never changes.
+//! Publication: creates a bundle under its version; a stored version never changes.
 
-use super::exchange::{self, Answer, Flow, Next};
+use super::exchange::{self, Flow, NextStep, Reply};
 use super::{OperatorError, OperatorOutcome};
 use thornbridge_config::bundle::Bundle;
 use thornbridge_config::canonical;
@@ -10,14 +10,14 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    Looking,
+    Reading,
     Writing,
     ReadingBack,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Publish {
-    own: PublishedBundle,
+    published: PublishedBundle,
     stage: Stage,
     in_doubt: bool,
 }
@@ -25,37 +25,42 @@
 impl Publish {
     pub(super) fn new(bundle: Bundle, change: ChangeId) -> Self {
         Self {
-            own: PublishedBundle {
+            published: PublishedBundle {
                 bundle,
                 digest: Default::default(),
                 change,
             },
-            stage: Stage::Looking,
+            stage: Stage::Reading,
             in_doubt: false,
         }
     }
 
     fn version(&self) -> &BundleVersion {
-        &self.own.bundle.version
+        &self.published.bundle.version
     }
 
-    fn read(&self) -> Next {
+    fn read(&self) -> NextStep {
         exchange::get(ObjectKind::Bundle, self.version().as_str())
     }
 
-    fn write(&mut self) -> Next {
+    fn write(&mut self) -> NextStep {
         self.stage = Stage::Writing;
         let name = self.version().as_str().to_owned();
-        exchange::put(ObjectKind::Bundle, &name, &self.own, Precondition::Absent)
+        exchange::put(
+            ObjectKind::Bundle,
+            &name,
+            &self.published,
+            Precondition::Absent,
+        )
     }
 
     fn compare(&self, object: &StoredObject) -> Result<OperatorOutcome, OperatorError> {
-        let published: PublishedBundle = exchange::decode(object)?;
-        if published.digest != self.own.digest {
+        let stored: PublishedBundle = exchange::decode(object)?;
+        if stored.digest != self.published.digest {
             return Err(OperatorError::PublishedDiffers {
                 version: self.version().clone(),
-                published: published.digest,
-                own: self.own.digest,
+                published: stored.digest,
+                own: self.published.digest,
             });
         }
         Ok(self.outcome())
@@ -64,11 +69,11 @@
     fn outcome(&self) -> OperatorOutcome {
         OperatorOutcome::Published {
             version: self.version().clone(),
-            digest: self.own.digest,
+            digest: self.published.digest,
         }
     }
 
-    fn step(&self) -> String {
+    fn description(&self) -> String {
         format!("publishing version {}", self.version())
     }
 }
@@ -78,30 +83,30 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
-        match canonical::digest(&self.own.bundle) {
+    fn start(&mut self) -> NextStep {
+        match canonical::digest(&self.published.bundle) {
             Ok(digest) => {
-                self.own.digest = digest;
+                self.published.digest = digest;
                 self.read()
             }
-            Err(error) => Next::done(Err(OperatorError::Encode {
+            Err(error) => NextStep::done(Err(OperatorError::Encode {
                 object: super::error::StoredName::new(ObjectKind::Bundle, self.version().as_str()),
                 detail: error.to_string(),
             })),
         }
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        match answer {
-            Answer::Object(Some(object)) => Next::done(self.compare(&object)),
-            Answer::Object(None) if self.stage == Stage::Looking => self.write(),
-            Answer::Object(None) => Next::ReadAgain,
-            Answer::Written => Next::done(Ok(self.outcome())),
-            Answer::Conflict => {
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        match reply {
+            Reply::Object(Some(object)) => NextStep::done(self.compare(&object)),
+            Reply::Object(None) if self.stage == Stage::Reading => self.write(),
+            Reply::Object(None) => NextStep::RetryRead,
+            Reply::Written => NextStep::done(Ok(self.outcome())),
+            Reply::Conflict => {
                 self.stage = Stage::ReadingBack;
                 self.read()
             }
-            Answer::Lost => {
+            Reply::Lost => {
                 self.stage = Stage::ReadingBack;
                 self.in_doubt = true;
                 self.read()
@@ -109,13 +114,16 @@
         }
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         if self.in_doubt {
             return Err(OperatorError::OutcomeUnknown {
-                step: self.step(),
-                change: self.own.change.clone(),
+                step: self.description(),
+                change: self.published.change.clone(),
             });
         }
-        Err(exchange::unavailable(&self.step(), failure))
+        Err(exchange::unavailable(&self.description(), failure))
     }
 }
--- a/crates/thornbridge-core/src/operator/rollback.rs
+++ b/crates/thornbridge-core/src/operator/rollback.rs
@@ -1,6 +1,6 @@
-//! Rolling back: the earlier version is found by walking the history, then rolled out as usual.
+//! Rollback: finds the earlier version in the history, then rolls it out as a new generation.
 
-use super::exchange::{self, Answer, Flow, Next};
+use super::exchange::{self, Flow, NextStep, Reply};
 use super::history;
 use super::register;
 use super::rollout::RolloutFlow;
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug)]
 enum Stage {
     ReadingRegister,
-    Walking {
-        active: BundleVersion,
+    WalkingHistory {
+        active_version: BundleVersion,
         expected: Generation,
-        at: Generation,
+        generation: Generation,
     },
     RollingOut(Box<RolloutFlow>),
 }
@@ -49,58 +49,58 @@
         }
     }
 
-    fn register_read(&mut self, object: Option<StoredObject>) -> Next {
-        let seen = match register::seen(object) {
-            Ok(Some(seen)) => seen,
-            Ok(None) => return Next::done(Err(OperatorError::NoRollout)),
-            Err(error) => return Next::done(Err(error)),
+    fn register_read(&mut self, object: Option<StoredObject>) -> NextStep {
+        let stored = match register::decode(object) {
+            Ok(Some(stored)) => stored,
+            Ok(None) => return NextStep::done(Err(OperatorError::NoRollout)),
+            Err(error) => return NextStep::done(Err(error)),
         };
-        let current = seen.rollout.current;
-        self.walk_to_before(current.generation, current.version, current.generation)
+        let current = stored.rollout.current;
+        self.read_entry_before(current.generation, current.version, current.generation)
     }
 
-    fn walk_to_before(
+    fn read_entry_before(
         &mut self,
-        at: Generation,
-        active: BundleVersion,
+        generation: Generation,
+        active_version: BundleVersion,
         expected: Generation,
-    ) -> Next {
-        if at.0 <= 1 {
-            return Next::done(Err(OperatorError::NothingToRollBackTo));
+    ) -> NextStep {
+        if generation.0 <= 1 {
+            return NextStep::done(Err(OperatorError::NothingToRollBackTo));
         }
-        let at = Generation(at.0 - 1);
-        self.stage = Stage::Walking {
-            active,
+        let generation = Generation(generation.0 - 1);
+        self.stage = Stage::WalkingHistory {
+            active_version,
             expected,
-            at,
+            generation,
         };
-        history::read_entry(at)
+        history::read_entry(generation)
     }
 
     fn entry_read(
         &mut self,
         object: Option<StoredObject>,
-        at: Generation,
-        active: BundleVersion,
+        generation: Generation,
+        active_version: BundleVersion,
         expected: Generation,
-    ) -> Next {
+    ) -> NextStep {
         let entry = match object.as_ref().map(exchange::decode::<RolloutHistory>) {
-            Some(Err(error)) => return Next::done(Err(error)),
+            Some(Err(error)) => return NextStep::done(Err(error)),
             Some(Ok(entry)) => entry,
-            None => return self.walk_to_before(at, active, expected),
+            None => return self.read_entry_before(generation, active_version, expected),
         };
         let found = entry.record.version;
-        let wanted = match &self.version {
+        let matches = match &self.version {
             Some(version) => found == *version,
-            None => found != active,
+            None => found != active_version,
         };
-        if !wanted {
-            return self.walk_to_before(at, active, expected);
+        if !matches {
+            return self.read_entry_before(generation, active_version, expected);
         }
         self.roll_out(found, expected)
     }
 
-    fn roll_out(&mut self, version: BundleVersion, expected: Generation) -> Next {
+    fn roll_out(&mut self, version: BundleVersion, expected: Generation) -> NextStep {
         let request = RolloutRequest {
             version,
             origin: self.origin.clone(),
@@ -108,7 +108,7 @@
             trusted_keys: std::mem::take(&mut self.trusted_keys),
         };
         let mut flow = RolloutFlow::new(request, self.change.clone(), self.restarts);
-        let next = flow.begin();
+        let next = flow.start();
         self.stage = Stage::RollingOut(Box::new(flow));
         next
     }
@@ -119,30 +119,33 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         register::read()
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
         if let Stage::RollingOut(flow) = &mut self.stage {
-            return flow.answer(answer);
+            return flow.handle_reply(reply);
         }
-        let Answer::Object(object) = answer else {
-            return Next::ReadAgain;
+        let Reply::Object(object) = reply else {
+            return NextStep::RetryRead;
         };
         match std::mem::replace(&mut self.stage, Stage::ReadingRegister) {
-            Stage::Walking {
-                active,
+            Stage::WalkingHistory {
+                active_version,
                 expected,
-                at,
-            } => self.entry_read(object, at, active, expected),
+                generation,
+            } => self.entry_read(object, generation, active_version, expected),
             _ => self.register_read(object),
         }
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
         match &mut self.stage {
-            Stage::RollingOut(flow) => flow.give_up(failure),
+            Stage::RollingOut(flow) => flow.retries_exhausted(failure),
             _ => Err(exchange::unavailable(
                 "looking for the earlier version",
                 failure,
--- a/crates/thornbridge-core/src/operator/rollout.rs
+++ b/crates/thornbridge-core/src/operator/rollout.rs
@@ -1,10 +1,12 @@
-//! Rolling out: approval and bundle are checked, the last generation's history entry is made sure
-//! of, the register is swapped to the next generation, and the new history entry is written.
+//! Rollout of an approved version as the next generation.
+//!
+//! Checks the approval and the bundle, ensures that the history has the entry of the current
+//! generation, swaps the register to the next generation, and writes its history entry.
 
 use super::approve::checked_digest;
-use super::exchange::{self, Answer, Flow, Next};
+use super::exchange::{self, Flow, NextStep, Reply};
 use super::history;
-use super::register::{self, RegisterSeen};
+use super::register::{self, StoredRegister};
 use super::{OperatorError, OperatorOutcome, RolloutRequest};
 use thornbridge_config::approval::Approval;
 use thornbridge_config::objects::{Rollout, RolloutHistory};
@@ -17,15 +19,15 @@
     ReadingApproval,
     ReadingBundle,
     ReadingRegister,
-    /// Entry of the generation before: must be in the history before it is replaced.
-    SecuringHistory,
+    /// Ensuring that the history has the entry of the generation to be replaced.
+    EnsuringPreviousEntry,
     Swapping,
-    /// Register read back after a swap that did not plainly succeed.
-    Judging,
-    /// Our generation's entry read, because a later generation is in force already.
-    JudgingHistory,
-    /// Entry of our own generation.
-    WritingHistory,
+    /// Reading the register back after a swap that failed or whose reply was lost.
+    ResolvingSwap,
+    /// Reading the entry of this rollout's generation, since a later generation is active.
+    ResolvingFromHistory,
+    /// Writing the entry of this rollout.
+    WritingOwnEntry,
 }
 
 #[derive(Clone, Debug)]
@@ -35,8 +37,8 @@
     restarts: u32,
     stage: Stage,
     approval: Option<(Approval, Vec<u8>)>,
-    base: Option<RegisterSeen>,
-    own: Option<Rollout>,
+    base: Option<StoredRegister>,
+    own_rollout: Option<Rollout>,
     in_doubt: bool,
 }
 
@@ -49,12 +51,12 @@
             stage: Stage::ReadingApproval,
             approval: None,
             base: None,
-            own: None,
+            own_rollout: None,
             in_doubt: false,
         }
     }
 
-    fn approval_read(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
+    fn approval_read(&mut self, object: Option<StoredObject>) -> Result<NextStep, OperatorError> {
         let version = &self.request.version;
         let object = object.ok_or_else(|| OperatorError::NotApproved {
             version: version.clone(),
@@ -76,7 +78,7 @@
         Ok(exchange::get(ObjectKind::Bundle, version.as_str()))
     }
 
-    fn bundle_read(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
+    fn bundle_read(&mut self, object: Option<StoredObject>) -> Result<NextStep, OperatorError> {
         let version = &self.request.version;
         let found = checked_digest(version, object)?;
         let stated = self.approval().0.digest;
@@ -91,31 +93,31 @@
         Ok(register::read())
     }
 
-    fn register_read(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
-        let seen = register::seen(object)?;
-        self.check_allowed(seen.as_ref())?;
-        let generation = register::next_generation(seen.as_ref())?;
-        self.own = Some(self.successor(seen.as_ref(), generation));
-        self.base = seen;
+    fn register_read(&mut self, object: Option<StoredObject>) -> Result<NextStep, OperatorError> {
+        let stored = register::decode(object)?;
+        self.check_allowed(stored.as_ref())?;
+        let generation = register::next_generation(stored.as_ref())?;
+        self.own_rollout = Some(self.successor(stored.as_ref(), generation));
+        self.base = stored;
         match &self.base {
             Some(base) => {
-                self.stage = Stage::SecuringHistory;
+                self.stage = Stage::EnsuringPreviousEntry;
                 Ok(history::read_entry(base.rollout.current.generation))
             }
             None => Ok(self.swap()),
         }
     }
 
-    fn check_allowed(&self, seen: Option<&RegisterSeen>) -> Result<(), OperatorError> {
-        let current = seen.map(|seen| &seen.rollout.current);
+    fn check_allowed(&self, stored: Option<&StoredRegister>) -> Result<(), OperatorError> {
+        let current = stored.map(|stored| &stored.rollout.current);
         let found = current.map_or(Generation(0), |current| current.generation);
         if let Some(expected) = self.request.expected
             && expected != found
         {
-            let found = seen.map(|seen| Box::new(seen.rollout.history()));
+            let found = stored.map(|stored| Box::new(stored.rollout.history()));
             return Err(OperatorError::UnexpectedGeneration { expected, found });
         }
-        if let Some(hold) = seen.and_then(|seen| seen.rollout.hold.as_ref())
+        if let Some(hold) = stored.and_then(|stored| stored.rollout.hold.as_ref())
             && self.request.origin.automation
         {
             return Err(OperatorError::Held {
@@ -138,7 +140,7 @@
         Ok(())
     }
 
-    fn successor(&self, seen: Option<&RegisterSeen>, generation: Generation) -> Rollout {
+    fn successor(&self, stored: Option<&StoredRegister>, generation: Generation) -> Rollout {
         let (approval, signature) = self.approval();
         Rollout {
             current: GenerationRecord {
@@ -149,72 +151,76 @@
                 key_id: approval.key_id.clone(),
                 signature: signature.clone(),
             },
-            hold: seen.and_then(|seen| seen.rollout.hold.clone()),
+            hold: stored.and_then(|stored| stored.rollout.hold.clone()),
             origin: self.request.origin.clone(),
             written_by: self.change.clone(),
         }
     }
 
-    /// Whoever finds the entry missing writes it: its author may have died after the swap.
-    fn history_secured(&mut self, object: Option<StoredObject>) -> Next {
+    /// Writes the entry of the current generation if missing: its author may have crashed.
+    fn ensure_previous_entry(&mut self, object: Option<StoredObject>) -> NextStep {
         match (&object, &self.base) {
             (None, Some(base)) => write_entry(&base.rollout.history()),
             _ => self.swap(),
         }
     }
 
-    fn swap(&mut self) -> Next {
+    fn swap(&mut self) -> NextStep {
         self.stage = Stage::Swapping;
-        register::write(self.base.as_ref(), self.own())
+        register::write(self.base.as_ref(), self.own_rollout())
     }
 
-    /// Decides what came of the swap from the register as it stands now.
-    fn judge(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
-        let Some(seen) = register::seen(object)? else {
+    /// Determines the outcome of the swap from the current register.
+    fn resolve_swap(&mut self, object: Option<StoredObject>) -> Result<NextStep, OperatorError> {
+        let Some(stored) = register::decode(object)? else {
             return Ok(self.wait_or_restart());
         };
-        if seen.rollout.current.change == self.change {
-            return Ok(self.record());
+        if stored.rollout.current.change == self.change {
+            return Ok(self.write_own_entry());
         }
         let base = self.base.as_ref();
-        if base.is_some_and(|base| base.resource_version == seen.resource_version) {
+        if base.is_some_and(|base| base.resource_version == stored.resource_version) {
             return Ok(self.wait_or_restart());
         }
-        let own = self.own().current.generation;
-        let found = seen.rollout.current.generation;
-        if found < own {
+        let own_generation = self.own_rollout().current.generation;
+        let found = stored.rollout.current.generation;
+        if found < own_generation {
             self.in_doubt = false;
             return self.restart();
         }
-        if found == own || !self.in_doubt {
-            return Err(lost_race(seen.rollout.history()));
+        if found == own_generation || !self.in_doubt {
+            return Err(lost_race(stored.rollout.history()));
         }
-        self.stage = Stage::JudgingHistory;
-        Ok(history::read_entry(own))
+        self.stage = Stage::ResolvingFromHistory;
+        Ok(history::read_entry(own_generation))
     }
 
-    /// A later generation is in force. Its author first made sure of our generation's entry.
-    fn judge_history(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
+    /// Determines the outcome of the swap from the history. The author of the later generation has
+    /// ensured that the entry exists.
+    fn resolve_from_history(
+        &mut self,
+        object: Option<StoredObject>,
+    ) -> Result<NextStep, OperatorError> {
         let Some(object) = object else {
-            return Ok(Next::ReadAgain);
+            return Ok(NextStep::RetryRead);
         };
         let entry: RolloutHistory = exchange::decode(&object)?;
         if entry.record.change == self.change {
-            return Ok(Next::done(Ok(self.outcome(true))));
+            return Ok(NextStep::done(Ok(self.outcome(true))));
         }
         Err(lost_race(entry))
     }
 
-    /// The register is as it was before the swap: a lost write may yet arrive, a refused one not.
-    fn wait_or_restart(&mut self) -> Next {
+    /// Handles an unchanged register: a write whose reply was lost can still arrive.
+    fn wait_or_restart(&mut self) -> NextStep {
         if self.in_doubt {
-            return Next::ReadAgain;
+            return NextStep::RetryRead;
         }
         self.restart()
-            .unwrap_or_else(|error| Next::done(Err(error)))
+            .unwrap_or_else(|error| NextStep::done(Err(error)))
     }
 
-    fn restart(&mut self) -> Result<Next, OperatorError> {
+    fn restart(&mut self) -> Result<NextStep, OperatorError> {
         if self.restarts == 0 {
             return Err(OperatorError::TooManyRestarts);
         }
@@ -223,73 +229,76 @@
         Ok(register::read())
     }
 
-    fn record(&mut self) -> Next {
+    fn write_own_entry(&mut self) -> NextStep {
         self.in_doubt = false;
-        self.stage = Stage::WritingHistory;
-        write_entry(&self.own().history())
+        self.stage = Stage::WritingOwnEntry;
+        write_entry(&self.own_rollout().history())
     }
 
-    /// An entry is the same whoever writes it, so a conflict means that it is there.
-    fn entry_answered(&mut self, answer: Answer) -> Next {
-        let own_entry = self.stage == Stage::WritingHistory;
-        match answer {
-            Answer::Written | Answer::Conflict | Answer::Object(Some(_)) if own_entry => {
-                Next::done(Ok(self.outcome(true)))
+    /// Handles the reply to a history request. All writers of an entry write the same content, so a
+    /// conflict means that the entry exists.
+    fn entry_replied(&mut self, reply: Reply) -> NextStep {
+        let is_own_entry = self.stage == Stage::WritingOwnEntry;
+        match reply {
+            Reply::Written | Reply::Conflict | Reply::Object(Some(_)) if is_own_entry => {
+                NextStep::done(Ok(self.outcome(true)))
             }
-            Answer::Written | Answer::Conflict => self.swap(),
-            Answer::Lost if own_entry => history::read_entry(self.own().current.generation),
-            Answer::Lost => self.read_secured_entry(),
-            Answer::Object(None) if own_entry => Next::ReadAgain,
-            Answer::Object(object) => self.history_secured(object),
+            Reply::Written | Reply::Conflict => self.swap(),
+            Reply::Lost if is_own_entry => {
+                history::read_entry(self.own_rollout().current.generation)
+            }
+            Reply::Lost => self.read_previous_entry(),
+            Reply::Object(None) if is_own_entry => NextStep::RetryRead,
+            Reply::Object(object) => self.ensure_previous_entry(object),
         }
     }
 
-    fn read_secured_entry(&self) -> Next {
-        let own = self.own().current.generation;
-        history::read_entry(Generation(own.0 - 1))
+    fn read_previous_entry(&self) -> NextStep {
+        let own_generation = self.own_rollout().current.generation;
+        history::read_entry(Generation(own_generation.0 - 1))
     }
 
-    fn object_read(&mut self, object: Option<StoredObject>) -> Result<Next, OperatorError> {
+    fn object_read(&mut self, object: Option<StoredObject>) -> Result<NextStep, OperatorError> {
         match self.stage {
             Stage::ReadingApproval => self.approval_read(object),
             Stage::ReadingBundle => self.bundle_read(object),
             Stage::ReadingRegister => self.register_read(object),
-            Stage::Swapping | Stage::Judging => self.judge(object),
-            Stage::JudgingHistory => self.judge_history(object),
-            Stage::SecuringHistory | Stage::WritingHistory => {
-                Ok(self.entry_answered(Answer::Object(object)))
+            Stage::Swapping | Stage::ResolvingSwap => self.resolve_swap(object),
+            Stage::ResolvingFromHistory => self.resolve_from_history(object),
+            Stage::EnsuringPreviousEntry | Stage::WritingOwnEntry => {
+                Ok(self.entry_replied(Reply::Object(object)))
             }
         }
     }
 
-    fn swap_answered(&mut self, answer: Answer) -> Next {
-        if matches!(answer, Answer::Written) {
-            return self.record();
+    fn swap_replied(&mut self, reply: Reply) -> NextStep {
+        if matches!(reply, Reply::Written) {
+            return self.write_own_entry();
         }
-        self.in_doubt = matches!(answer, Answer::Lost);
-        self.stage = Stage::Judging;
+        self.in_doubt = matches!(reply, Reply::Lost);
+        self.stage = Stage::ResolvingSwap;
         register::read()
     }
 
     fn outcome(&self, history_written: bool) -> OperatorOutcome {
         OperatorOutcome::RolledOut {
-            record: self.own().current.clone(),
+            record: self.own_rollout().current.clone(),
             history_written,
         }
     }
 
     fn approval(&self) -> &(Approval, Vec<u8>) {
         let approval = self.approval.as_ref();
-        approval.expect("set when the approval is read, the first stage")
+        approval.expect("the approval is read in the first stage")
     }
 
-    fn own(&self) -> &Rollout {
-        let own = self.own.as_ref();
-        own.expect("set when the register is read, before any stage that writes")
+    fn own_rollout(&self) -> &Rollout {
+        let own_rollout = self.own_rollout.as_ref();
+        own_rollout.expect("the register is read before any stage that writes")
     }
 }
 
-fn write_entry(entry: &RolloutHistory) -> Next {
+fn write_entry(entry: &RolloutHistory) -> NextStep {
     let name = history::entry_name(entry.record.generation);
     exchange::put(ObjectKind::History, &name, entry, Precondition::Absent)
 }
@@ -305,22 +314,27 @@
         Box::new(self.clone())
     }
 
-    fn begin(&mut self) -> Next {
+    fn start(&mut self) -> NextStep {
         exchange::get(ObjectKind::Approval, self.request.version.as_str())
     }
 
-    fn answer(&mut self, answer: Answer) -> Next {
-        match (self.stage, answer) {
-            (_, Answer::Object(object)) => self
+    fn handle_reply(&mut self, reply: Reply) -> NextStep {
+        match (self.stage, reply) {
+            (_, Reply::Object(object)) => self
                 .object_read(object)
-                .unwrap_or_else(|error| Next::done(Err(error))),
-            (Stage::SecuringHistory | Stage::WritingHistory, answer) => self.entry_answered(answer),
-            (_, answer) => self.swap_answered(answer),
+                .unwrap_or_else(|error| NextStep::done(Err(error))),
+            (Stage::EnsuringPreviousEntry | Stage::WritingOwnEntry, reply) => {
+                self.entry_replied(reply)
+            }
+            (_, reply) => self.swap_replied(reply),
         }
     }
 
-    fn give_up(&mut self, failure: &PlatformFailure) -> Result<OperatorOutcome, OperatorError> {
-        if self.stage == Stage::WritingHistory {
+    fn retries_exhausted(
+        &mut self,
+        failure: &PlatformFailure,
+    ) -> Result<OperatorOutcome, OperatorError> {
+        if self.stage == Stage::WritingOwnEntry {
             return Ok(self.outcome(false));
         }
         let step = format!("rolling out version {}", self.request.version);
