--- a/crates/thornbridge-core/src/routing/attempts.rs
+++ b/crates/thornbridge-core/src/routing/attempts.rs
@@ -106,8 +106,8 @@
 
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
         let expiry = self.waiting_deadlines.first().map(|(time, _)| *time);
-        let overdue = self.cancelled.front().map(|(time, _)| *time);
-        [expiry, overdue].into_iter().flatten().min()
+        let grace_end = self.cancelled.front().map(|(time, _)| *time);
+        [expiry, grace_end].into_iter().flatten().min()
     }
 
     /// Removes attempts that have ended from the front of the cancelled ones.
--- a/crates/thornbridge-core/src/routing/back_end_limit.rs
+++ b/crates/thornbridge-core/src/routing/back_end_limit.rs
@@ -64,7 +64,7 @@
         self.paused_until = now + retry_after.min(parameters.longest_pause);
         let recently_decreased = self
             .last_decrease
-            .is_some_and(|last_decrease| now.since(last_decrease) < parameters.decrease_interval);
+            .is_some_and(|decreased_at| now.since(decreased_at) < parameters.decrease_interval);
         if !recently_decreased {
             let used = self.limit.min(in_flight as f32);
             self.limit = (used * parameters.decrease).max(1.0);
--- a/crates/thornbridge-core/src/routing/balancer.rs
+++ b/crates/thornbridge-core/src/routing/balancer.rs
@@ -139,7 +139,7 @@
     }
 }
 
-/// Compares by cost if the costs differ by more than the tolerance, else by load.
+/// Preference by cost if the costs differ by more than the tolerance, else by load.
 fn preference(
     parameters: &BalancerParameters,
     first: &Candidate,
--- a/crates/thornbridge-core/src/routing/connecting.rs
+++ b/crates/thornbridge-core/src/routing/connecting.rs
@@ -39,8 +39,7 @@
             ConnectionState::Idle => self.counters.connections_lost += 1,
             ConnectionState::Busy(attempt) => {
                 self.counters.connections_lost += 1;
-                // Drivers report a lost connection's attempt as failed first; a driver may omit
-                // that.
+                // Fails the attempt if the driver has not reported its failure before.
                 let broken = AttemptFailure::ConnectionBroken;
                 let finished = self.attempt_failed(context, attempt, broken);
                 self.finished.extend(finished);
--- a/crates/thornbridge-core/src/routing/health.rs
+++ b/crates/thornbridge-core/src/routing/health.rs
@@ -12,8 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HealthViewParameters {
-    /// Time for which a back end stays leaving despite messages that say otherwise. Such replies,
-    /// probes and records of peers may be older than the message that it is leaving.
+    /// Time for which a leaving back end does not become ready again, since replies, probes and
+    /// records of peers may be delayed.
     pub leaving_memory: Duration,
     /// Time after a reply for which reports that the back end is unreachable are ignored.
     pub own_evidence: Duration,
@@ -41,10 +41,12 @@
     /// Readiness from a newer record that arrived too soon after the back end was seen leaving.
     deferred_readiness: Option<Readiness>,
     unreachable: bool,
+    /// Reported unreachable by a peer, without a recent reply to this node.
     reported_unreachable: bool,
     failed_probes: u32,
-    last_reply: Option<Timestamp>,
+    last_reply_at: Option<Timestamp>,
     snapshots: Option<Vec<SnapshotId>>,
+    /// Version of the latest record.
     version: u64,
 }
 
@@ -76,7 +78,7 @@
 
     /// Records a reply to an attempt; returns whether the health changed.
     pub(super) fn record_reply(&mut self, now: Timestamp) -> bool {
-        self.last_reply = Some(now);
+        self.last_reply_at = Some(now);
         self.failed_probes = 0;
         self.reported_unreachable = false;
         std::mem::take(&mut self.unreachable)
@@ -150,8 +152,8 @@
         now: Timestamp,
     ) -> bool {
         self.failed_probes += 1;
-        let enough = self.failed_probes >= parameters.failed_probes;
-        if !enough || self.recently_replied(parameters, now) {
+        let threshold_reached = self.failed_probes >= parameters.failed_probes;
+        if !threshold_reached || self.recently_replied(parameters, now) {
             return false;
         }
         !std::mem::replace(&mut self.unreachable, true)
@@ -206,11 +208,11 @@
 
     fn recently_leaving(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
         self.leaving_seen_at
-            .is_some_and(|leaving_seen_at| now.since(leaving_seen_at) < parameters.leaving_memory)
+            .is_some_and(|seen_at| now.since(seen_at) < parameters.leaving_memory)
     }
 
     fn recently_replied(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
-        self.last_reply
-            .is_some_and(|reply| now.since(reply) < parameters.own_evidence)
+        self.last_reply_at
+            .is_some_and(|replied_at| now.since(replied_at) < parameters.own_evidence)
     }
 }
--- a/crates/thornbridge-core/src/routing/latency.rs
+++ b/crates/thornbridge-core/src/routing/latency.rs
@@ -47,6 +47,7 @@
     samples: u32,
     updated: Timestamp,
     bucket_counts: [u8; BUCKETS],
+    /// Sum of `bucket_counts`.
     counted_samples: u16,
 }
 
@@ -63,7 +64,7 @@
 }
 
 impl LatencyEstimate {
-    /// Records a measured latency. `baseline` is the value that the old estimate decays towards.
+    /// Records the latency of an attempt. `baseline` is the value that the old estimate decays towards.
     pub(super) fn record(
         &mut self,
         parameters: &LatencyParameters,
@@ -87,7 +88,7 @@
         let value = log2_us(elapsed);
         if self
             .decayed_log2_us(parameters, now, baseline)
-            .is_some_and(|known| value > known)
+            .is_some_and(|estimate| value > estimate)
         {
             self.update_mean(parameters, now, value, baseline);
         }
@@ -143,8 +144,8 @@
     }
 
     fn freshness(&self, parameters: &LatencyParameters, now: Timestamp) -> f32 {
-        let forgetting = parameters.forgetting.as_secs_f32().max(1e-3);
-        1.0 / (1.0 + now.since(self.updated).as_secs_f32() / forgetting)
+        let half_life = parameters.forgetting.as_secs_f32().max(1e-3);
+        1.0 / (1.0 + now.since(self.updated).as_secs_f32() / half_life)
     }
 
     fn update_mean(
@@ -157,9 +158,12 @@
         let old = self
             .decayed_log2_us(parameters, now, baseline)
             .unwrap_or(value);
-        let first = 1.0 / (self.samples as f32 + 1.0);
+        let average_weight = 1.0 / (self.samples as f32 + 1.0);
         let staleness = 1.0 - self.freshness(parameters, now);
-        let weight = parameters.weight.max(first).max(staleness.min(0.5));
+        let weight = parameters
+            .weight
+            .max(average_weight)
+            .max(staleness.min(0.5));
         self.mean_log2_us = old + (value - old) * weight;
         self.samples = self.samples.saturating_add(1);
         self.updated = now;
@@ -167,8 +171,8 @@
 
     fn record_bucket(&mut self, log2_us: f32) {
         let bucket = (log2_us * BUCKETS_PER_DOUBLING) as usize;
-        let slot = &mut self.bucket_counts[bucket.min(BUCKETS - 1)];
-        *slot = slot.saturating_add(1);
+        let count = &mut self.bucket_counts[bucket.min(BUCKETS - 1)];
+        *count = count.saturating_add(1);
         self.counted_samples += 1;
         if self.counted_samples >= SAMPLES_UNTIL_HALVED {
             self.bucket_counts.iter_mut().for_each(|count| *count /= 2);
--- a/crates/thornbridge-core/src/routing/load.rs
+++ b/crates/thornbridge-core/src/routing/load.rs
@@ -12,7 +12,7 @@
     /// Age at which a report has half its weight, as a share of the back end's latency. Compare M.
     /// Mitzenmacher, "How Useful Is Old Information?", 2000.
     pub half_age_share: f32,
-    /// Minimum of that age.
+    /// Minimum age at which a report has half its weight.
     pub least_half_age: Duration,
     /// Maximum load of other nodes that is taken from a report, as a multiple of the slots.
     pub greatest_claim: f32,
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -24,11 +24,14 @@
 /// Nodes among which the connections are divided.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
+    /// This node; `None` before the first member list.
     own: Option<(NodeId, ZoneName)>,
+    /// Nodes that accept work.
     nodes: Vec<SubsetNode>,
     members: BTreeMap<NodeId, KnownMember>,
     /// Members that vanished without leaving: dead, or on the other side of a partition.
     lost: BTreeMap<NodeId, KnownMember>,
+    /// Time from which the member list is considered complete.
     settled_at: Timestamp,
 }
 
@@ -113,9 +116,11 @@
 /// Schedule, progress and input of the computation of the subset.
 #[derive(Debug, Default)]
 pub(super) struct SubsetState {
+    /// Time of the next step.
     pub(super) due: Option<Timestamp>,
     build: Option<SubsetBuild>,
     topology: Topology,
+    /// Table index of each server of the topology.
     indices: Vec<BackEndIndex>,
 }
 
@@ -203,7 +208,7 @@
     }
 
     fn begin_subset(&mut self, now: Timestamp) -> SubsetBuild {
-        let maximum = self
+        let maximum_nodes = self
             .active
             .as_ref()
             .map_or(0, |active| active.bundle.maximum_nodes);
@@ -212,7 +217,7 @@
             self.parameters.subset.clone(),
             self.subset_state.topology.clone(),
             self.membership.nodes.clone(),
-            self.membership.expected_nodes(now, maximum),
+            self.membership.expected_nodes(now, maximum_nodes),
         )
     }
 
@@ -259,13 +264,13 @@
                 .count();
             (reached, group.len())
         });
-        let (mut short, mut out) = (0, 0);
+        let (mut short_of_replicas, mut out_of_reach) = (0, 0);
         for (reached, replicas) in reach {
-            short += u64::from(reached < replicas.min(2));
-            out += u64::from(reached == 0 && replicas > 0);
+            short_of_replicas += u64::from(reached < replicas.min(2));
+            out_of_reach += u64::from(reached == 0 && replicas > 0);
         }
-        self.counters.shards_short_of_replicas = short;
-        self.counters.shards_out_of_reach = out;
+        self.counters.shards_short_of_replicas = short_of_replicas;
+        self.counters.shards_out_of_reach = out_of_reach;
     }
 
     fn install_back_end(
--- a/crates/thornbridge-core/src/routing/subset.rs
+++ b/crates/thornbridge-core/src/routing/subset.rs
@@ -97,7 +97,9 @@
     allocations: Vec<Allocation>,
     /// Bit set of the assigned nodes of each back end.
     assigned: Vec<Vec<u64>>,
+    /// Number of nodes assigned to each back end.
     node_counts: Vec<u32>,
+    /// Index of the current replica group.
     group: usize,
     shard: Option<ShardAssignment>,
 }
@@ -122,6 +124,7 @@
     /// Nodes in the order in which they choose; differs by shard, so that no node is always last.
     order: Vec<u32>,
     round: u32,
+    /// Number of rounds: the limited replicas that each node should have.
     rounds: u32,
 }
 
@@ -184,7 +187,9 @@
             .map(|server| match self.allocations[server] {
                 Allocation::AllNodes { pool } => pool,
                 Allocation::LimitedNodes { .. } => match position {
-                    Some(position) if self.has(server, position) => self.parameters.least_pool,
+                    Some(position) if self.is_assigned(server, position) => {
+                        self.parameters.least_pool
+                    }
                     _ => 0,
                 },
             })
@@ -204,8 +209,8 @@
         let mut shard = self.shard.take().unwrap_or_else(|| self.begin_shard());
         let evaluated = 1 + shard.limited.len() * self.nodes.len();
         if shard.round < shard.rounds && shard.full.contains(&false) {
-            for choice in 0..shard.order.len() {
-                self.assign_next_replica(shard.order[choice] as usize, &mut shard);
+            for turn in 0..shard.order.len() {
+                self.assign_next_replica(shard.order[turn] as usize, &mut shard);
             }
             shard.round += 1;
         }
@@ -257,7 +262,7 @@
         for (position, node) in self.nodes.iter().enumerate() {
             let (mut count, mut zones) = (0, 0);
             for (replica, server) in shard.limited.iter().enumerate() {
-                let held = self.has(*server, position);
+                let held = self.is_assigned(*server, position);
                 let hash = pair_hash(node.hash, self.topology.servers[*server].hash);
                 shard.hashes.push(hash >> 1);
                 shard.held.push(held);
@@ -282,8 +287,8 @@
         if shard.counts[position] > shard.round {
             return;
         }
-        let width = shard.limited.len();
-        let pairs = position * width..(position + 1) * width;
+        let replica_count = shard.limited.len();
+        let pairs = position * replica_count..(position + 1) * replica_count;
         let own_zone = self.nodes[position].zone_bit;
         let held_zones = shard.held_zones[position];
         let is_first = shard.round == 0;
@@ -296,8 +301,8 @@
             let own = is_first & (zone == own_zone);
             let new = !is_first & (zone & held_zones == 0);
             let rank = (u64::from(own | new) << 63) | hash;
-            let possible = !held[replica] & !shard.full[replica];
-            if possible & (best.is_none() | (rank > best_rank)) {
+            let available = !held[replica] & !shard.full[replica];
+            if available & (best.is_none() | (rank > best_rank)) {
                 best = Some(replica);
                 best_rank = rank;
             }
@@ -314,7 +319,7 @@
         shard.full[replica] = self.is_full(server);
     }
 
-    fn has(&self, server: usize, position: usize) -> bool {
+    fn is_assigned(&self, server: usize, position: usize) -> bool {
         let words = &self.assigned[server];
         words
             .get(position / WORD_BITS)
