--- a/crates/thornbridge-node/src/gateway/answer_delay.rs
+++ b/crates/thornbridge-node/src/gateway/answer_delay.rs
@@ -7,21 +7,21 @@
 use std::time::{Duration, Instant};
 use thornbridge_core::gateway::GatewayAnswer;
 
-/// Marks that there is no delay since the last [`AnswerDelays::take`].
-const NONE: u64 = u64::MAX;
+/// Marker: no answer reached its caller's task since the last [`AnswerDelays::take_newest`].
+const NO_DELAY: u64 = u64::MAX;
 
 /// An answer and the time of its decision.
 #[derive(Debug)]
 pub(super) struct DecidedAnswer {
     pub(super) answer: GatewayAnswer,
-    pub(super) decided: Instant,
+    pub(super) decided_at: Instant,
 }
 
 impl DecidedAnswer {
     pub(super) fn now(answer: GatewayAnswer) -> Self {
         Self {
             answer,
-            decided: Instant::now(),
+            decided_at: Instant::now(),
         }
     }
 }
@@ -35,7 +35,7 @@
 impl Default for AnswerDelays {
     fn default() -> Self {
         Self {
-            newest_us: AtomicU64::new(NONE),
+            newest_us: AtomicU64::new(NO_DELAY),
         }
     }
 }
@@ -43,13 +43,13 @@
 impl AnswerDelays {
     /// Records the delay of an answer that reached its caller's task.
     pub(super) fn observe(&self, answer: &DecidedAnswer) {
-        let delay_us = answer.decided.elapsed().as_micros() as u64;
+        let delay_us = answer.decided_at.elapsed().as_micros() as u64;
         self.newest_us.store(delay_us, Ordering::Relaxed);
     }
 
     /// Delay of the newest answer since the last call, if any.
-    pub(super) fn take(&self) -> Option<Duration> {
-        let delay_us = self.newest_us.swap(NONE, Ordering::Relaxed);
-        (delay_us != NONE).then(|| Duration::from_micros(delay_us))
+    pub(super) fn take_newest(&self) -> Option<Duration> {
+        let delay_us = self.newest_us.swap(NO_DELAY, Ordering::Relaxed);
+        (delay_us != NO_DELAY).then(|| Duration::from_micros(delay_us))
     }
 }
--- a/crates/thornbridge-node/src/gateway/callers.rs
+++ b/crates/thornbridge-node/src/gateway/callers.rs
@@ -36,7 +36,7 @@
 /// Time for a caller to acknowledge sent bytes before its connection is closed.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(8);
 /// Interval between checks of a connection's timeouts.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Minimum buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// Time to receive a request body.
@@ -103,14 +103,14 @@
         .max_buf_size(head_bytes)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+    let mut timeout_check = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
     loop {
         // Connection errors are ignored: a broken pipe, malformed HTTP, or a driver that stopped
         // during the request.
         tokio::select! {
             _ = &mut connection => return,
             () = context.shutdown.cancelled() => break,
-            _ = sweep.tick() => {
+            _ = timeout_check.tick() => {
                 let limits = *context.limits.borrow();
                 if activity.is_overdue(limits.idle_timeout, limits.head_timeout) {
                     break;
--- a/crates/thornbridge-node/src/gateway/driver.rs
+++ b/crates/thornbridge-node/src/gateway/driver.rs
@@ -35,7 +35,7 @@
 const MAX_BATCH: usize = 64;
 /// Maximum time between two iterations.
 const MAX_SLEEP: Duration = Duration::from_millis(200);
-/// Time between iterations above which the core is told that the process was paused.
+/// Time between iterations above which a pause of the process is reported to the core.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
 /// Interval between removals of unused peers from the link table.
 const PEER_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
@@ -246,7 +246,7 @@
     }
 
     fn finish_iteration(&mut self) {
-        if let Some(delay) = self.outputs.answer_delays.take() {
+        if let Some(delay) = self.outputs.answer_delays.take_newest() {
             self.handle(GatewayEvent::AnswerDelayed { delay });
         }
         let due = self.gateway.next_timeout();
@@ -257,8 +257,8 @@
         let gauges = GaugeValues {
             members: self.gateway.members(),
             instances: self.gateway.registered_instances(),
-            suspects: self.gateway.quarantine_records(),
-            version: self.gateway.configuration_version(),
+            quarantine_records: self.gateway.quarantine_records(),
+            configuration_version: self.gateway.configuration_version(),
             store_era: self.gateway.store_era(),
             in_flight: self.gateway.in_flight(),
             connections: self.connections.len(),
@@ -416,7 +416,8 @@
             .push(GatewayEvent::Failed { attempt, failure });
     }
 
-    /// Builds the request to send to a server; `None` if the caller is gone or a header is invalid.
+    /// Builds the request to send to a server; `None` if the caller is gone or a header is
+    /// missing or invalid.
     fn job(
         &self,
         attempt: AttemptId,
--- a/crates/thornbridge-node/src/gateway/metrics.rs
+++ b/crates/thornbridge-node/src/gateway/metrics.rs
@@ -48,8 +48,8 @@
 pub(super) struct GaugeValues {
     pub(super) members: usize,
     pub(super) instances: usize,
-    pub(super) suspects: usize,
-    pub(super) version: u64,
+    pub(super) quarantine_records: usize,
+    pub(super) configuration_version: u64,
     pub(super) store_era: u64,
     pub(super) in_flight: usize,
     pub(super) connections: usize,
@@ -63,15 +63,15 @@
     request_seconds: Family<RouteLabels, Histogram, fn() -> Histogram>,
     attempts: Counter,
     notable_attempts: Family<AttemptLabels, Counter>,
-    denied: Counter,
+    extra_attempts_denied: Counter,
     missing_parts: Counter,
     slices: Family<SliceLabels, Counter>,
     served_slices: Family<SliceLabels, Counter>,
     changes: Family<ChangeLabels, Counter>,
     members: Gauge,
     instances: Gauge,
-    suspects: Gauge,
-    version: Gauge,
+    quarantine_records: Gauge,
+    configuration_version: Gauge,
     store_era: Gauge,
     in_flight: Gauge,
     connections: Gauge,
@@ -100,15 +100,15 @@
             request_seconds: Family::new_with_constructor(latency_histogram),
             attempts: Counter::default(),
             notable_attempts: Family::default(),
-            denied: Counter::default(),
+            extra_attempts_denied: Counter::default(),
             missing_parts: Counter::default(),
             slices: Family::default(),
             served_slices: Family::default(),
             changes: Family::default(),
             members: Gauge::default(),
             instances: Gauge::default(),
-            suspects: Gauge::default(),
-            version: Gauge::default(),
+            quarantine_records: Gauge::default(),
+            configuration_version: Gauge::default(),
             store_era: Gauge::default(),
             in_flight: Gauge::default(),
             connections: Gauge::default(),
@@ -128,7 +128,7 @@
         let notable = "Attempts that were not a first one that was answered";
         registry.register("notable_attempts", notable, self.notable_attempts.clone());
         let denied = "Extra attempts that the budget did not allow";
-        registry.register("extra_denied", denied, self.denied.clone());
+        registry.register("extra_denied", denied, self.extra_attempts_denied.clone());
         let missing = "Parts that answers left out";
         registry.register("missing_parts", missing, self.missing_parts.clone());
         let slices = "Owners asked for slices of gathers, by how they stood when the gather ended";
@@ -140,10 +140,14 @@
         let members = "Members that share the budgets";
         registry.register("members", members, self.members.clone());
         registry.register("instances", "Registered instances", self.instances.clone());
-        let suspects = "Requests that servers crashed under, cleared ones included";
-        registry.register("suspects", suspects, self.suspects.clone());
+        let records = "Requests that servers crashed under, cleared ones included";
+        registry.register("suspects", records, self.quarantine_records.clone());
         let version = "Version of the configuration in force";
-        registry.register("configuration_version", version, self.version.clone());
+        registry.register(
+            "configuration_version",
+            version,
+            self.configuration_version.clone(),
+        );
         let era = "Era of the store that the registry is known as of";
         registry.register("store_era", era, self.store_era.clone());
         let in_flight = "Requests without an answer yet";
@@ -165,7 +169,8 @@
             }
         }
         self.attempts.inc_by(summary.attempts_sent as u64);
-        self.denied.inc_by(summary.extra_attempts_denied as u64);
+        self.extra_attempts_denied
+            .inc_by(summary.extra_attempts_denied as u64);
         for slice in &summary.slices {
             let outcome = slice.outcome.as_str().to_owned();
             let labels = SliceLabels { outcome };
@@ -235,8 +240,10 @@
     pub(super) fn encode(&self, gauges: &GaugeValues) -> String {
         self.members.set(gauges.members as i64);
         self.instances.set(gauges.instances as i64);
-        self.suspects.set(gauges.suspects as i64);
-        self.version.set(gauges.version as i64);
+        self.quarantine_records
+            .set(gauges.quarantine_records as i64);
+        self.configuration_version
+            .set(gauges.configuration_version as i64);
         self.store_era.set(gauges.store_era as i64);
         self.in_flight.set(gauges.in_flight as i64);
         self.connections.set(gauges.connections as i64);
--- a/crates/thornbridge-node/src/gateway/process.rs
+++ b/crates/thornbridge-node/src/gateway/process.rs
@@ -75,7 +75,7 @@
     store: Arc<dyn StoreProtocol>,
     read_settings: ReadSettings,
 ) -> Result<(), GatewayError> {
-    let mut signals = Signals::install()?;
+    let mut events = ProcessEvents::install()?;
     let listeners = GatewayListeners::bind(&settings)?;
     log::info!(
         node = settings.name.as_str(),
@@ -93,13 +93,13 @@
     };
     let running = RunningGateway::start(settings, names, store, listeners);
     loop {
-        match signals.next().await {
-            Signal::Stop => break,
-            Signal::Reload => {
+        match events.next().await {
+            ProcessEvent::Stop => break,
+            ProcessEvent::Reload => {
                 log::info!("settings reload requested by SIGHUP");
                 running.reload(&read_settings, &mut active).await;
             }
-            Signal::PollSettings => running.reload(&read_settings, &mut active).await,
+            ProcessEvent::PollSettings => running.reload(&read_settings, &mut active).await,
         }
     }
     running.stop(active.stop_grace).await;
@@ -116,7 +116,8 @@
     problems: Option<String>,
 }
 
-struct Signals {
+/// Signals and settings polls.
+struct ProcessEvents {
     terminate: tokio::signal::unix::Signal,
     interrupt: tokio::signal::unix::Signal,
     hang_up: tokio::signal::unix::Signal,
@@ -124,13 +125,13 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Signal {
+enum ProcessEvent {
     Stop,
     Reload,
     PollSettings,
 }
 
-impl Signals {
+impl ProcessEvents {
     fn install() -> Result<Self, GatewayError> {
         let install = |kind, signal_name| {
             signal(kind).context(SignalsSnafu {
@@ -145,12 +146,12 @@
         })
     }
 
-    async fn next(&mut self) -> Signal {
+    async fn next(&mut self) -> ProcessEvent {
         tokio::select! {
-            _ = self.terminate.recv() => Signal::Stop,
-            _ = self.interrupt.recv() => Signal::Stop,
-            _ = self.hang_up.recv() => Signal::Reload,
-            _ = self.settings_poll.tick() => Signal::PollSettings,
+            _ = self.terminate.recv() => ProcessEvent::Stop,
+            _ = self.interrupt.recv() => ProcessEvent::Stop,
+            _ = self.hang_up.recv() => ProcessEvent::Reload,
+            _ = self.settings_poll.tick() => ProcessEvent::PollSettings,
         }
     }
 }
--- a/crates/thornbridge-node/src/gateway/server_reply.rs
+++ b/crates/thornbridge-node/src/gateway/server_reply.rs
@@ -12,7 +12,7 @@
 /// Maximum size of a server's response body.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads the reply to the request with id `request_id`, body included.
+/// Reads the response to the request with id `request_id`, including its body.
 pub(super) async fn read(
     names: &HeaderNames,
     request_id: &HeaderValue,
