--- a/crates/thornbridge-core/src/action/decider.rs
+++ b/crates/thornbridge-core/src/action/decider.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn set_reading(&mut self, now: Timestamp, reading: bool) {
+    pub(super) fn set_platform_reader(&mut self, now: Timestamp, reading: bool) {
         if reading == self.is_reader {
             return;
         }
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -124,8 +124,8 @@
     }
 
     /// Sets whether this node reads the platform, and so maintains the claim group.
-    pub fn set_reading(&mut self, now: Timestamp, reading: bool) {
-        self.decider.set_reading(now, reading);
+    pub fn set_platform_reader(&mut self, now: Timestamp, reading: bool) {
+        self.decider.set_platform_reader(now, reading);
     }
 
     /// Starts an action requested by a caller.
@@ -199,7 +199,7 @@
         match admission {
             Admission::Run => self.start_claim(context, key),
             Admission::Queued => {}
-            Admission::Refuse(refusal) => self.refuse_waiting(context, waiter.request, refusal),
+            Admission::Refuse(refusal) => self.refuse_queued(context, waiter.request, refusal),
         }
     }
 
@@ -225,7 +225,7 @@
     }
 
     /// Refuses an action that was queued or rejected by admission control.
-    pub fn refuse_waiting(
+    pub fn refuse_queued(
         &mut self,
         context: &mut Context<'_>,
         request: RequestId,
@@ -245,7 +245,7 @@
     }
 
     /// Removes a caller that disconnected; its action continues.
-    pub fn caller_gone(&mut self, caller: CallerId) {
+    pub fn caller_disconnected(&mut self, caller: CallerId) {
         let key = self.keys_by_caller.remove(&caller);
         if let Some(action) = key.and_then(|key| self.owned.get_mut(&key)) {
             action.waiters.retain(|waiter| waiter.caller != caller);
--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -441,7 +441,7 @@
         });
     }
 
-    pub fn set_reading(&mut self, index: usize, is_reader: bool) {
+    pub fn set_platform_reader(&mut self, index: usize, is_reader: bool) {
         self.hosts[index].is_reader = is_reader;
         self.tick(index);
     }
@@ -463,7 +463,7 @@
         let now = self.now;
         let is_reader = self.hosts[index].is_reader;
         self.call_engine(index, |engine, context, resources| {
-            engine.set_reading(now, is_reader);
+            engine.set_platform_reader(now, is_reader);
             let due = engine.next_timeout().is_some_and(|due| due <= now);
             if due {
                 engine.timer_due(context, resources);
@@ -543,7 +543,7 @@
                 self.engine.run(&mut context, &mut resources, request);
             }
             for (request, refusal) in release.refuse {
-                self.engine.refuse_waiting(&mut context, request, refusal);
+                self.engine.refuse_queued(&mut context, request, refusal);
             }
         }
         self.signals.clear();
--- a/crates/thornbridge-core/src/action/tests/scenarios.rs
+++ b/crates/thornbridge-core/src/action/tests/scenarios.rs
@@ -11,7 +11,7 @@
 
 fn cluster_with_group(hosts: usize) -> Cluster {
     let mut cluster = Cluster::new(hosts);
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     cluster.run_without_faults(5_000);
     cluster
 }
@@ -174,7 +174,7 @@
 #[test]
 fn no_action_runs_before_a_group_exists() {
     let mut cluster = Cluster::new(3);
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     let caller = cluster.send_action(1, "k", "payload");
     while !cluster.responses.contains_key(&caller) {
         cluster.advance(Duration::from_millis(10));
@@ -190,7 +190,7 @@
 fn group_of_one_grows_without_delay() {
     let mut cluster = Cluster::new(3);
     cluster.set_view(0, 0);
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     cluster.run_without_faults(1_500);
     cluster.set_full_views();
     cluster.run_without_faults(1_100);
@@ -207,7 +207,7 @@
 #[test]
 fn lost_store_answer_is_resolved_by_reading() {
     let mut cluster = Cluster::new(3);
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     for _ in 0..3_000 {
         cluster.advance(Duration::from_millis(1));
         while !cluster.store_requests.is_empty() {
@@ -292,7 +292,7 @@
 #[test]
 fn leaving_member_waits_if_remaining_members_are_no_majority() {
     let mut cluster = cluster_with_group(3);
-    cluster.set_reading(0, false);
+    cluster.set_platform_reader(0, false);
     cluster.leave(1);
     cluster.set_full_views();
     cluster.run_without_faults(299);
@@ -303,7 +303,7 @@
     cluster.set_full_views();
     cluster.run_without_faults(4_000);
     assert_eq!(cluster.hosts[2].engine.in_flight(), 1);
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     cluster.run_without_faults(500);
     assert_eq!(cluster.hosts[2].engine.in_flight(), 0);
 }
@@ -330,7 +330,7 @@
         parameters.maximum_claims = 2;
         parameters.least_retention = Duration::from_secs(30);
     });
-    cluster.set_reading(0, true);
+    cluster.set_platform_reader(0, true);
     cluster.run_without_faults(2_000);
     for key in ["a", "b"] {
         start_action(&mut cluster, 0, key);
--- a/crates/thornbridge-core/src/action/tests/state_machine.rs
+++ b/crates/thornbridge-core/src/action/tests/state_machine.rs
@@ -97,7 +97,7 @@
 
     fn init_test(hosts: &usize) -> Cluster {
         let mut cluster = Cluster::new(*hosts);
-        cluster.set_reading(0, true);
+        cluster.set_platform_reader(0, true);
         cluster.run_without_faults(4_000);
         cluster
     }
@@ -136,7 +136,7 @@
             }
             Step::Wait(duration_ms) => cluster.advance(Duration::from_millis(duration_ms)),
             Step::SetView { host, mask } => cluster.set_view(host % hosts, mask),
-            Step::SetReader { host, is_reader } => cluster.set_reading(host % hosts, is_reader),
+            Step::SetReader { host, is_reader } => cluster.set_platform_reader(host % hosts, is_reader),
             Step::Restart(host) => cluster.restart(host % hosts),
             Step::Leave(host) => cluster.leave(host % hosts),
             Step::RunWithoutFaults(duration_ms) => cluster.run_without_faults(duration_ms),
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -144,7 +144,7 @@
             }
             Event::CallerDisconnected { caller } => {
                 if !self.queries.caller_disconnected(context, resources, caller) {
-                    self.action_engine.caller_gone(caller);
+                    self.action_engine.caller_disconnected(caller);
                 }
             }
             Event::ConnectionOpened { connection } => {
@@ -303,7 +303,7 @@
     /// A node that reads the platform also sees to the claim group of actions.
     fn ask_platform_for_actions(&mut self, now: Timestamp) {
         let reading = self.control.readers.held(now).is_some();
-        self.action_engine.set_reading(now, reading);
+        self.action_engine.set_platform_reader(now, reading);
         let control = &mut self.control;
         let asked = self
             .action_engine
@@ -335,7 +335,7 @@
                 self.queries.refuse_queued(&mut context, request, refusal);
             } else {
                 self.action_engine
-                    .refuse_waiting(&mut context, request, refusal);
+                    .refuse_queued(&mut context, request, refusal);
             }
         }
     }
