--- a/crates/thornbridge-core/src/action/decider.rs
+++ b/crates/thornbridge-core/src/action/decider.rs
@@ -59,12 +59,12 @@
         }
     }
 
-    pub(super) fn set_platform_reader(&mut self, now: Timestamp, reading: bool) {
-        if reading == self.is_reader {
+    pub(super) fn set_platform_reader(&mut self, now: Timestamp, is_reader: bool) {
+        if is_reader == self.is_reader {
             return;
         }
-        self.is_reader = reading;
-        self.next_check = reading.then_some(now);
+        self.is_reader = is_reader;
+        self.next_check = is_reader.then_some(now);
         self.change_needed_since = None;
         self.queued = None;
     }
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -124,8 +124,8 @@
     }
 
     /// Sets whether this node reads the platform, and so maintains the claim group.
-    pub fn set_platform_reader(&mut self, now: Timestamp, reading: bool) {
-        self.decider.set_platform_reader(now, reading);
+    pub fn set_platform_reader(&mut self, now: Timestamp, is_reader: bool) {
+        self.decider.set_platform_reader(now, is_reader);
     }
 
     /// Starts an action requested by a caller.
--- a/crates/thornbridge-core/src/action/tests/state_machine.rs
+++ b/crates/thornbridge-core/src/action/tests/state_machine.rs
@@ -136,7 +136,9 @@
             }
             Step::Wait(duration_ms) => cluster.advance(Duration::from_millis(duration_ms)),
             Step::SetView { host, mask } => cluster.set_view(host % hosts, mask),
-            Step::SetReader { host, is_reader } => cluster.set_platform_reader(host % hosts, is_reader),
+            Step::SetReader { host, is_reader } => {
+                cluster.set_platform_reader(host % hosts, is_reader)
+            }
             Step::Restart(host) => cluster.restart(host % hosts),
             Step::Leave(host) => cluster.leave(host % hosts),
             Step::RunWithoutFaults(duration_ms) => cluster.run_without_faults(duration_ms),
--- a/crates/thornbridge-core/src/control.rs
+++ b/crates/thornbridge-core/src/control.rs
@@ -204,7 +204,7 @@
 
     /// The node reads the platform exactly while it holds a reader's lease.
     fn follow_lease(&mut self, context: &mut Context<'_>) {
-        let reading = self.readers.held(context.now).is_some();
+        let reading = self.readers.held_token(context.now).is_some();
         let standbys = if reading {
             self.readers.standbys()
         } else {
@@ -217,7 +217,7 @@
     /// Candidates that wait behind the readers go by how long the platform was not heard.
     fn share_platform_news(&mut self, now: Timestamp) {
         if let Some(age) = self.configuration.platform_age(now) {
-            self.readers.platform_heard(now - age);
+            self.readers.record_platform_contact(now - age);
         }
     }
 }
--- a/crates/thornbridge-core/src/lease/reader_leases.rs
+++ b/crates/thornbridge-core/src/lease/reader_leases.rs
@@ -73,8 +73,8 @@
     }
 
     /// Fencing token while this node is a reader.
-    pub fn held(&self, now: Timestamp) -> Option<FencingToken> {
-        self.leases.iter().find_map(|lease| lease.held(now))
+    pub fn held_token(&self, now: Timestamp) -> Option<FencingToken> {
+        self.leases.iter().find_map(|lease| lease.held_token(now))
     }
 
     /// Counters of all leases.
@@ -89,7 +89,7 @@
             Some(LeaseStatus {
                 name: lease.name().to_owned(),
                 holder,
-                held_here: lease.held(now).is_some(),
+                held_here: lease.held_token(now).is_some(),
                 fencing_token: token.0,
             })
         };
@@ -109,18 +109,18 @@
         self.ranking = reader_ranking(view, self.max_candidates());
         self.view = Some(Arc::clone(view));
         for position in 0..self.leases.len() {
-            let held = self.leases[position].held(now).is_some();
+            let held = self.leases[position].held_token(now).is_some();
             let holder = self.leases[position]
                 .last_seen()
                 .and_then(|(holder, _)| holder);
             if !held && holder.is_some_and(|holder| !self.is_alive(holder)) {
-                self.leases[position].look_now(now);
+                self.leases[position].check_now(now);
             }
         }
     }
 
     /// Records the time of a contact with the platform, by this node or a peer.
-    pub fn platform_heard(&mut self, at: Timestamp) {
+    pub fn record_platform_contact(&mut self, at: Timestamp) {
         self.last_contact = self.last_contact.max(Some(at));
     }
 
@@ -180,7 +180,7 @@
         self.operations[position] = None;
         let jitter = context.random.random();
         self.update_check_durations();
-        self.leases[position].answered(context.now, result, jitter, &mut self.counters);
+        self.leases[position].handle_reply(context.now, result, jitter, &mut self.counters);
         self.timer_due(context, last_operation);
         true
     }
@@ -271,7 +271,7 @@
         let held = self
             .leases
             .iter()
-            .position(|lease| lease.held(now).is_some());
+            .position(|lease| lease.held_token(now).is_some());
         let candidate = self.is_candidate(now);
         for (position, lease) in self.leases.iter_mut().enumerate() {
             let wanted = match held {
@@ -291,14 +291,14 @@
 
     fn is_other_held_or_pending(&self, position: usize) -> bool {
         let mut leases = self.leases.iter().enumerate();
-        leases.any(|(other, lease)| other != position && lease.is_engaged())
+        leases.any(|(other, lease)| other != position && lease.is_held_or_pending())
     }
 
     fn report_changes(&mut self, context: &mut Context<'_>) {
         let held = self
             .leases
             .iter()
-            .position(|lease| lease.held(context.now).is_some());
+            .position(|lease| lease.held_token(context.now).is_some());
         if held == self.reported_held {
             return;
         }
--- a/crates/thornbridge-core/src/lease/state_machine.rs
+++ b/crates/thornbridge-core/src/lease/state_machine.rs
@@ -18,7 +18,7 @@
 pub struct FencingToken(pub u64);
 
 /// One lease, without I/O. [`Self::poll`] returns at most one request, whose reply must be passed
-/// to [`Self::answered`] before the next.
+/// to [`Self::handle_reply`] before the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     parameters: LeaseParameters,
@@ -111,7 +111,7 @@
     }
 
     /// The token while this node may act as the holder; checked before each use.
-    pub fn held(&self, now: Timestamp) -> Option<FencingToken> {
+    pub fn held_token(&self, now: Timestamp) -> Option<FencingToken> {
         let held_lease = self.held_lease.as_ref();
         held_lease
             .filter(|held_lease| now < held_lease.valid_until)
@@ -134,7 +134,7 @@
 
     /// Whether the lease is held, or a write is in flight or has an unknown outcome. A node then
     /// takes no second lease.
-    pub fn is_engaged(&self) -> bool {
+    pub fn is_held_or_pending(&self) -> bool {
         let writing =
             |in_flight: &InFlightRequest| matches!(in_flight.kind, RequestKind::Write { .. });
         self.held_lease.is_some()
@@ -163,7 +163,7 @@
     }
 
     /// Schedules a read now, since the holder may have failed.
-    pub fn look_now(&mut self, now: Timestamp) {
+    pub fn check_now(&mut self, now: Timestamp) {
         self.check_at = self.check_at.min(now);
     }
 
--- a/crates/thornbridge-core/src/lease/state_machine/replies.rs
+++ b/crates/thornbridge-core/src/lease/state_machine/replies.rs
@@ -27,7 +27,7 @@
 
 impl Lease {
     /// Handles the reply to the request in flight. `jitter`, from 0 to 1, spreads retries.
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         now: Timestamp,
         result: &Result<PlatformResponse, PlatformFailure>,
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn lose_if_expired(&mut self, now: Timestamp, counters: &mut LeaseCounters) {
-        if self.held_lease.is_some() && self.held(now).is_none() {
+        if self.held_lease.is_some() && self.held_token(now).is_none() {
             self.lose(now, counters);
         }
     }
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -302,7 +302,7 @@
 
     /// A node that reads the platform also sees to the claim group of actions.
     fn ask_platform_for_actions(&mut self, now: Timestamp) {
-        let reading = self.control.readers.held(now).is_some();
+        let reading = self.control.readers.held_token(now).is_some();
         self.action_engine.set_platform_reader(now, reading);
         let control = &mut self.control;
         let asked = self
--- a/crates/thornbridge-core/tests/control/cluster.rs
+++ b/crates/thornbridge-core/tests/control/cluster.rs
@@ -272,7 +272,7 @@
     pub fn readers(&self) -> Vec<Host> {
         let reads = |host: &Host| {
             let readers = &self.processes[*host].control.readers;
-            readers.held(self.now).is_some()
+            readers.held_token(self.now).is_some()
         };
         self.running().into_iter().filter(reads).collect()
     }
--- a/crates/thornbridge-core/tests/control/exploration.rs
+++ b/crates/thornbridge-core/tests/control/exploration.rs
@@ -3,7 +3,7 @@
 //! register, from where both have checked the approval and are about to read the register. Every order of steps and faults is tried; states met
 //! before are not tried again.
 
-use crate::lease_model::{Fault, LeaseWorld};
+use crate::lease_model::{Fault, LeaseModel};
 use crate::operators::{self, Race, Wanted};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -67,16 +67,16 @@
     }
 }
 
-fn lease_successors(world: &LeaseWorld) -> Vec<LeaseWorld> {
+fn lease_successors(world: &LeaseModel) -> Vec<LeaseModel> {
     let mut successors = Vec::new();
-    let mut push = |change: &dyn Fn(&mut LeaseWorld)| {
+    let mut push = |change: &dyn Fn(&mut LeaseModel)| {
         let mut successor = world.clone();
         change(&mut successor);
-        successor.check();
+        successor.check_invariants();
         successors.push(successor);
     };
     for index in 0..world.candidates.len() {
-        let faults: &[Fault] = if world.writes_next(index) {
+        let faults: &[Fault] = if world.next_request_is_write(index) {
             &WRITE_FAULTS
         } else {
             &READ_FAULTS
@@ -84,9 +84,9 @@
         for fault in faults {
             push(&|world| world.step(index, *fault));
         }
-        push(&|world| world.look(index));
-        if world.candidates[index].lease.is_engaged() {
-            push(&|world| world.jump(index, Duration::ZERO, true));
+        push(&|world| world.check_now(index));
+        if world.candidates[index].lease.is_held_or_pending() {
+            push(&|world| world.jump_clock(index, Duration::ZERO, true));
             push(&|world| {
                 let clock = world.clock(index);
                 world.candidates[index].lease.set_wanted(clock, false);
@@ -95,12 +95,12 @@
     }
     push(&|world| world.now += Duration::from_secs(1));
     for delayed in 0..world.delayed.len() {
-        push(&|world| world.arrive(delayed));
+        push(&|world| world.deliver_delayed(delayed));
     }
     successors
 }
 
-fn lease_key(world: &LeaseWorld) -> String {
+fn lease_key(world: &LeaseModel) -> String {
     let last = world.last_write.as_ref();
     let delayed = &world.delayed;
     format!(
@@ -111,7 +111,7 @@
 
 #[test]
 fn every_order_of_steps_of_two_nodes_and_one_lease() {
-    let mut first = LeaseWorld::new(coarse_lease(), &[Duration::ZERO, Duration::from_secs(50)]);
+    let mut first = LeaseModel::new(coarse_lease(), &[Duration::ZERO, Duration::from_secs(50)]);
     for index in [0, 0, 1] {
         first.step(index, Fault::None);
     }
--- a/crates/thornbridge-core/tests/control/lease_model.rs
+++ b/crates/thornbridge-core/tests/control/lease_model.rs
@@ -28,9 +28,9 @@
 pub struct Candidate {
     pub lease: Lease,
     /// Own clock less true time: differs between nodes, and changes when a clock jumps.
-    pub clock_ahead: Duration,
+    pub clock_offset: Duration,
     /// Whether the clock ever ran wrong without the node being told.
-    pub deceived: bool,
+    pub undetected_jump: bool,
     pub answer: Option<Answer>,
 }
 
@@ -45,26 +45,26 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct LeaseWorld {
+pub struct LeaseModel {
     pub now: Duration,
     pub parameters: LeaseParameters,
     pub store: ModelStore,
     pub candidates: Vec<Candidate>,
     pub delayed: Vec<(usize, PlatformRequest)>,
     pub last_write: Option<Write>,
-    pub deceived: bool,
+    pub undetected_jump: bool,
 }
 
-impl LeaseWorld {
-    pub fn new(parameters: LeaseParameters, clocks_ahead: &[Duration]) -> Self {
-        let candidates = clocks_ahead.iter().enumerate().map(|(index, ahead)| {
+impl LeaseModel {
+    pub fn new(parameters: LeaseParameters, clock_offsets: &[Duration]) -> Self {
+        let candidates = clock_offsets.iter().enumerate().map(|(index, ahead)| {
             let node = NodeId(index as u64 + 1);
             let mut lease = Lease::new(parameters.clone(), LEASE.to_owned(), node);
             lease.set_wanted(Timestamp::from_epoch(*ahead), true);
             Candidate {
                 lease,
-                clock_ahead: *ahead,
-                deceived: false,
+                clock_offset: *ahead,
+                undetected_jump: false,
                 answer: None,
             }
         });
@@ -75,12 +75,12 @@
             store: ModelStore::default(),
             delayed: Vec::new(),
             last_write: None,
-            deceived: false,
+            undetected_jump: false,
         }
     }
 
     pub fn clock(&self, index: usize) -> Timestamp {
-        Timestamp::from_epoch(self.now + self.candidates[index].clock_ahead)
+        Timestamp::from_epoch(self.now + self.candidates[index].clock_offset)
     }
 
     /// Lets one node take a slow answer, or ask what is due.
@@ -89,7 +89,7 @@
         let counters = &mut LeaseCounters::default();
         if let Some(answer) = self.candidates[index].answer.take() {
             let lease = &mut self.candidates[index].lease;
-            return lease.answered(clock, &answer, 1.0, counters);
+            return lease.handle_reply(clock, &answer, 1.0, counters);
         }
         let lease = &mut self.candidates[index].lease;
         let Some(request) = lease.poll(clock, true, counters) else {
@@ -112,24 +112,24 @@
         if matches!(fault, Fault::SlowAnswer) {
             candidate.answer = Some(answer);
         } else {
-            candidate.lease.answered(clock, &answer, 1.0, counters);
+            candidate.lease.handle_reply(clock, &answer, 1.0, counters);
         }
     }
 
     /// Whether the node's next request, if one is due, is a write.
-    pub fn writes_next(&self, index: usize) -> bool {
+    pub fn next_request_is_write(&self, index: usize) -> bool {
         let mut lease = self.candidates[index].lease.clone();
         let request = lease.poll(self.clock(index), true, &mut LeaseCounters::default());
         matches!(request, Some(PlatformRequest::Put { .. }))
     }
 
     /// The node has reason to think that the holder is gone.
-    pub fn look(&mut self, index: usize) {
+    pub fn check_now(&mut self, index: usize) {
         let clock = self.clock(index);
-        self.candidates[index].lease.look_now(clock);
+        self.candidates[index].lease.check_now(clock);
     }
 
-    pub fn arrive(&mut self, delayed: usize) {
+    pub fn deliver_delayed(&mut self, delayed: usize) {
         if delayed < self.delayed.len() {
             let (index, request) = self.delayed.remove(delayed);
             let _ = self.apply(index, &request);
@@ -137,15 +137,15 @@
     }
 
     /// The clock jumps ahead; the node is told, or not.
-    pub fn jump(&mut self, index: usize, by: Duration, told: bool) {
-        self.candidates[index].clock_ahead += by;
+    pub fn jump_clock(&mut self, index: usize, by: Duration, detected: bool) {
+        self.candidates[index].clock_offset += by;
         let clock = self.clock(index);
-        if told {
+        if detected {
             let counters = &mut LeaseCounters::default();
             self.candidates[index].lease.clock_jumped(clock, counters);
         } else {
-            self.deceived = true;
-            self.candidates[index].deceived = true;
+            self.undetected_jump = true;
+            self.candidates[index].undetected_jump = true;
         }
     }
 
@@ -188,21 +188,24 @@
             .holder
             .is_none_or(|holder| holder == write.writer);
         let expired = write.at >= last.at + self.parameters.duration;
-        assert!(free || expired || self.deceived, "taken over too early");
+        assert!(
+            free || expired || self.undetected_jump,
+            "taken over too early"
+        );
     }
 
     /// A node whose clock is honest believes that it holds only what the store says it holds, and
     /// two such nodes never believe so at once.
-    pub fn check(&self) {
-        let mut believers = 0;
+    pub fn check_invariants(&self) {
+        let mut holders = 0;
         for (index, candidate) in self.candidates.iter().enumerate() {
-            let Some(token) = candidate.lease.held(self.clock(index)) else {
+            let Some(token) = candidate.lease.held_token(self.clock(index)) else {
                 continue;
             };
-            if self.deceived {
+            if self.undetected_jump {
                 continue;
             }
-            believers += 1;
+            holders += 1;
             let stored = self.store.get(ObjectKind::Lease, LEASE).unwrap();
             let stored: LeaseObject = serde_json::from_str(&stored.body).unwrap();
             let holder = NodeId(index as u64 + 1);
@@ -211,6 +214,6 @@
                 (Some(holder), token.0)
             );
         }
-        assert!(believers <= 1);
+        assert!(holders <= 1);
     }
 }
--- a/crates/thornbridge-core/tests/control/leases.rs
+++ b/crates/thornbridge-core/tests/control/leases.rs
@@ -1,6 +1,6 @@
 //! Nodes competing for a lease: pauses, clocks that jump, lost and late answers.
 
-use crate::lease_model::{Fault, LeaseWorld};
+use crate::lease_model::{Fault, LeaseModel};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -15,31 +15,31 @@
         index: usize,
         fault: Fault,
     },
-    Pass {
+    Advance {
         time: Duration,
     },
-    Want {
+    SetWanted {
         index: usize,
         wanted: bool,
     },
-    Jump {
+    JumpClock {
         index: usize,
         by: Duration,
-        told: bool,
+        detected: bool,
     },
-    Look {
+    CheckNow {
         index: usize,
     },
-    Arrive {
+    DeliverDelayed {
         delayed: usize,
     },
 }
 
 /// The oracle is in the world: rules for each write, and for who may believe what.
 #[derive(Clone, Debug)]
-pub struct Nothing;
+pub struct Stateless;
 
-impl ReferenceStateMachine for Nothing {
+impl ReferenceStateMachine for Stateless {
     type State = Self;
     type Transition = Transition;
 
@@ -51,16 +51,16 @@
         let index = 0..CANDIDATES;
         prop_oneof![
             12 => (index.clone(), fault()).prop_map(|(index, fault)| Transition::Step { index, fault }),
-            8 => (1..1_500_u64).prop_map(|ms| Transition::Pass { time: Duration::from_millis(ms) }),
-            1 => (1..20_u64).prop_map(|s| Transition::Pass { time: Duration::from_secs(s) }),
-            1 => (index.clone(), any::<bool>()).prop_map(|(index, wanted)| Transition::Want { index, wanted }),
-            1 => (index.clone(), 1..20_u64).prop_map(|(index, s)| Transition::Jump {
+            8 => (1..1_500_u64).prop_map(|ms| Transition::Advance { time: Duration::from_millis(ms) }),
+            1 => (1..20_u64).prop_map(|s| Transition::Advance { time: Duration::from_secs(s) }),
+            1 => (index.clone(), any::<bool>()).prop_map(|(index, wanted)| Transition::SetWanted { index, wanted }),
+            1 => (index.clone(), 1..20_u64).prop_map(|(index, s)| Transition::JumpClock {
                 index,
                 by: Duration::from_secs(s),
-                told: true,
+                detected: true,
             }),
-            1 => index.clone().prop_map(|index| Transition::Look { index }),
-            2 => (0..3_usize).prop_map(|delayed| Transition::Arrive { delayed }),
+            1 => index.clone().prop_map(|index| Transition::CheckNow { index }),
+            2 => (0..3_usize).prop_map(|delayed| Transition::DeliverDelayed { delayed }),
         ]
         .boxed()
     }
@@ -81,45 +81,49 @@
     ]
 }
 
-fn world() -> LeaseWorld {
+fn model() -> LeaseModel {
     let clocks = [0, 1_000, 77].map(Duration::from_secs);
-    LeaseWorld::new(LeaseParameters::default(), &clocks)
+    LeaseModel::new(LeaseParameters::default(), &clocks)
 }
 
-fn apply(world: &mut LeaseWorld, transition: Transition) {
+fn apply(model: &mut LeaseModel, transition: Transition) {
     match transition {
-        Transition::Step { index, fault } => world.step(index, fault),
-        Transition::Pass { time } => world.now += time,
-        Transition::Want { index, wanted } => {
-            let clock = world.clock(index);
-            world.candidates[index].lease.set_wanted(clock, wanted);
+        Transition::Step { index, fault } => model.step(index, fault),
+        Transition::Advance { time } => model.now += time,
+        Transition::SetWanted { index, wanted } => {
+            let clock = model.clock(index);
+            model.candidates[index].lease.set_wanted(clock, wanted);
         }
-        Transition::Jump { index, by, told } => world.jump(index, by, told),
-        Transition::Look { index } => world.look(index),
-        Transition::Arrive { delayed } => world.arrive(delayed),
+        Transition::JumpClock {
+            index,
+            by,
+            detected,
+        } => model.jump_clock(index, by, detected),
+        Transition::CheckNow { index } => model.check_now(index),
+        Transition::DeliverDelayed { delayed } => model.deliver_delayed(delayed),
     }
 }
 
 /// Without faults, one of those who want the lease comes to hold it, and keeps it.
-fn settle(world: &mut LeaseWorld) {
-    while !world.delayed.is_empty() {
-        world.arrive(0);
+fn settle(model: &mut LeaseModel) {
+    while !model.delayed.is_empty() {
+        model.deliver_delayed(0);
     }
     for index in 0..CANDIDATES {
-        let clock = world.clock(index);
-        world.candidates[index].lease.set_wanted(clock, true);
+        let clock = model.clock(index);
+        model.candidates[index].lease.set_wanted(clock, true);
     }
     for _ in 0..300 {
-        world.now += Duration::from_millis(100);
+        model.now += Duration::from_millis(100);
         for index in 0..CANDIDATES {
-            world.step(index, Fault::None);
+            model.step(index, Fault::None);
         }
     }
-    world.deceived = false;
-    world.check();
+    model.undetected_jump = false;
+    model.check_invariants();
     let held = |index: &usize| {
-        let lease = &world.candidates[*index].lease;
-        lease.held(world.clock(*index)).is_some()
+        let lease = &model.candidates[*index].lease;
+        lease.held_token(model.clock(*index)).is_some()
     };
     assert_eq!((0..CANDIDATES).filter(held).count(), 1);
 }
@@ -127,24 +131,24 @@
 pub struct LeaseTest;
 
 impl StateMachineTest for LeaseTest {
-    type SystemUnderTest = LeaseWorld;
-    type Reference = Nothing;
+    type SystemUnderTest = LeaseModel;
+    type Reference = Stateless;
 
-    fn init_test(_: &Nothing) -> LeaseWorld {
-        world()
+    fn init_test(_: &Stateless) -> LeaseModel {
+        model()
     }
 
-    fn apply(mut state: LeaseWorld, _: &Nothing, transition: Transition) -> LeaseWorld {
+    fn apply(mut state: LeaseModel, _: &Stateless, transition: Transition) -> LeaseModel {
         apply(&mut state, transition);
         state
     }
 
-    fn check_invariants(world: &LeaseWorld, _: &Nothing) {
-        world.check();
+    fn check_invariants(model: &LeaseModel, _: &Stateless) {
+        model.check_invariants();
     }
 
-    fn teardown(mut world: LeaseWorld) {
-        settle(&mut world);
+    fn teardown(mut model: LeaseModel) {
+        settle(&mut model);
     }
 }
 
@@ -174,93 +178,127 @@
         before in 0..40_usize,
         jumps in prop::collection::vec((0..CANDIDATES, 1..20_u64, 0..20_usize), 1..5),
     ) {
-        let mut world = world();
-        let run = |world: &mut LeaseWorld, steps: usize| {
+        let mut model = model();
+        let run = |model: &mut LeaseModel, steps: usize| {
             for step in 0..steps {
-                world.now += Duration::from_millis(200);
-                world.step(step % CANDIDATES, Fault::None);
-                world.check();
+                model.now += Duration::from_millis(200);
+                model.step(step % CANDIDATES, Fault::None);
+                model.check_invariants();
             }
         };
-        run(&mut world, before);
+        run(&mut model, before);
         for (index, seconds, steps) in jumps {
-            world.jump(index, Duration::from_secs(seconds), false);
-            run(&mut world, steps);
+            model.jump_clock(index, Duration::from_secs(seconds), false);
+            run(&mut model, steps);
         }
-        settle(&mut world);
+        settle(&mut model);
     }
 }
 
 /// Steps until the first candidate holds the lease.
-fn held_by_first() -> LeaseWorld {
-    let mut world = world();
+fn model_held_by_first() -> LeaseModel {
+    let mut model = model();
     for _ in 0..3 {
-        world.step(0, Fault::None);
+        model.step(0, Fault::None);
     }
-    assert!(world.candidates[0].lease.held(world.clock(0)).is_some());
-    world
+    assert!(
+        model.candidates[0]
+            .lease
+            .held_token(model.clock(0))
+            .is_some()
+    );
+    model
 }
 
 #[test]
 fn a_holder_paused_past_expiry_loses_to_its_successor() {
-    let mut world = held_by_first();
-    world.step(1, Fault::None);
-    world.now += Duration::from_secs(5);
+    let mut model = model_held_by_first();
+    model.step(1, Fault::None);
+    model.now += Duration::from_secs(5);
     for _ in 0..3 {
-        world.step(1, Fault::None);
+        model.step(1, Fault::None);
     }
-    assert!(world.candidates[1].lease.held(world.clock(1)).is_some());
-    assert!(world.candidates[0].lease.held(world.clock(0)).is_none());
-    let written = world.store.writes.len();
-    world.step(0, Fault::None);
-    assert_eq!(world.store.writes.len(), written);
+    assert!(
+        model.candidates[1]
+            .lease
+            .held_token(model.clock(1))
+            .is_some()
+    );
+    assert!(
+        model.candidates[0]
+            .lease
+            .held_token(model.clock(0))
+            .is_none()
+    );
+    let write_count = model.store.writes.len();
+    model.step(0, Fault::None);
+    assert_eq!(model.store.writes.len(), write_count);
 }
 
 #[test]
 fn a_paused_holder_whose_clock_stood_still_writes_nothing_though_it_believes() {
-    let mut world = held_by_first();
-    world.step(1, Fault::None);
-    world.now += Duration::from_secs(6);
+    let mut model = model_held_by_first();
+    model.step(1, Fault::None);
+    model.now += Duration::from_secs(6);
     for _ in 0..3 {
-        world.step(1, Fault::None);
+        model.step(1, Fault::None);
     }
     // The first node's clock did not see the six seconds: it still believes.
-    world.deceived = true;
-    world.candidates[0].clock_ahead = Duration::ZERO;
-    let stood_still = world.now.saturating_sub(Duration::from_secs(4));
-    world.now = stood_still;
-    assert!(world.candidates[0].lease.held(world.clock(0)).is_some());
-    let written = world.store.writes.len();
-    world.step(0, Fault::None);
-    assert_eq!(world.store.writes.len(), written, "its renewal is refused");
-    assert!(world.candidates[0].lease.held(world.clock(0)).is_none());
+    model.undetected_jump = true;
+    model.candidates[0].clock_offset = Duration::ZERO;
+    let paused_at = model.now.saturating_sub(Duration::from_secs(4));
+    model.now = paused_at;
+    assert!(
+        model.candidates[0]
+            .lease
+            .held_token(model.clock(0))
+            .is_some()
+    );
+    let write_count = model.store.writes.len();
+    model.step(0, Fault::None);
+    assert_eq!(
+        model.store.writes.len(),
+        write_count,
+        "its renewal is refused"
+    );
+    assert!(
+        model.candidates[0]
+            .lease
+            .held_token(model.clock(0))
+            .is_none()
+    );
 }
 
 #[test]
 fn a_lease_given_back_is_taken_at_once() {
-    let mut world = held_by_first();
-    world.step(1, Fault::None);
-    let clock = world.clock(0);
-    world.candidates[0].lease.set_wanted(clock, false);
-    world.step(0, Fault::None);
-    world.look(1);
+    let mut model = model_held_by_first();
+    model.step(1, Fault::None);
+    let clock = model.clock(0);
+    model.candidates[0].lease.set_wanted(clock, false);
+    model.step(0, Fault::None);
+    model.check_now(1);
     for _ in 0..2 {
-        world.step(1, Fault::None);
+        model.step(1, Fault::None);
     }
-    assert!(world.candidates[1].lease.held(world.clock(1)).is_some());
+    assert!(
+        model.candidates[1]
+            .lease
+            .held_token(model.clock(1))
+            .is_some()
+    );
 }
 
 /// Found by exploration at depth 9: the store still shows the write before the one in doubt.
 #[test]
 fn a_renewal_in_doubt_does_not_prolong_what_an_earlier_write_granted() {
-    let mut world = held_by_first();
-    world.step(1, Fault::None);
-    world.now = Duration::from_secs(4);
-    world.step(0, Fault::Delayed);
-    world.now = Duration::from_secs(5);
-    world.step(0, Fault::None);
+    let mut model = model_held_by_first();
+    model.step(1, Fault::None);
+    model.now = Duration::from_secs(4);
+    model.step(0, Fault::Delayed);
+    model.now = Duration::from_secs(5);
+    model.step(0, Fault::None);
     for _ in 0..3 {
-        world.step(1, Fault::None);
-        world.check();
+        model.step(1, Fault::None);
+        model.check_invariants();
     }
 }
