--- a/crates/thornbridge-core/benches/query.rs
+++ b/crates/thornbridge-core/benches/query.rs
@@ -1,7 +1,7 @@
-//! Cost of one query over 190 shards with 3 replicas, driven through a whole node: planning,
-//! scattering, gathering, merging, answering; and the memory that one query in flight takes.
+//! Cost of one query over 190 shards with 3 replicas in a whole node, and memory of one query in
+//! flight.
 
-#![allow(missing_docs)] // The macros of criterion make functions without any.
+#![allow(missing_docs)] // The macros of criterion generate functions without docs.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use ed25519_dalek::SigningKey;
@@ -25,9 +25,8 @@
 const REPLICAS: u32 = 3;
 const HITS_PER_SHARD: u32 = 10;
 const LIMIT: u32 = 10;
-/// Queries in flight when memory is counted: fewer than the first limit on concurrency.
-const COUNTED_QUERIES: usize = 60;
-/// Size of a page of memory.
+/// Queries in flight when memory is measured; below the initial concurrency limit.
+const MEASURED_QUERIES: usize = 60;
 const PAGE_BYTES: usize = 4_096;
 const SERVICE: &str = "listener-search";
 
@@ -80,7 +79,7 @@
     }
 }
 
-/// A node with the bundle in force, and the driver that it needs.
+/// A node with an active bundle, and its driver.
 struct Driver {
     node: Node,
     now: Timestamp,
@@ -117,7 +116,7 @@
             last_caller: 0,
         };
         driver.handle(Event::Started);
-        driver.handle(whole_bundle(&key));
+        driver.handle(bundle_message(&key));
         driver
     }
 
@@ -143,7 +142,7 @@
         }
     }
 
-    fn ask(&mut self) {
+    fn send_query(&mut self) {
         self.last_caller += 1;
         let request = QueryRequest {
             service: SERVICE.into(),
@@ -156,7 +155,7 @@
         self.handle(Event::CallerQuery { caller, request });
     }
 
-    /// Replies to everything that runs, a little later each, as servers do.
+    /// Replies to all attempts in flight, 5 µs apart.
     fn reply_all(&mut self, hits: &[Vec<Hit>]) {
         while let Some((_, attempt)) = self.running.pop() {
             self.now = self.now + Duration::from_micros(5);
@@ -165,7 +164,6 @@
         }
     }
 
-    /// Lets the node do what is due.
     fn fire_timers(&mut self) {
         while self.node.next_timeout().is_some_and(|due| due <= self.now) {
             self.handle(Event::TimerDue);
@@ -173,7 +171,7 @@
     }
 
     fn query(&mut self, hits: &[Vec<Hit>]) {
-        self.ask();
+        self.send_query();
         self.reply_all(hits);
         self.now = self.now + Duration::from_micros(50);
         self.fire_timers();
@@ -184,7 +182,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn whole_bundle(key: &SigningKey) -> Event {
+fn bundle_message(key: &SigningKey) -> Event {
     let bundle = bundle();
     let sections = SectionSet::of(&bundle).expect("the bundle can be encoded");
     let digest = sections.digest();
@@ -244,12 +242,16 @@
     (0..SHARDS).map(|shard| hits_of(ShardId(shard))).collect()
 }
 
-/// The driver's own part of the work: making the replies.
+/// Cost of building the replies, which is part of `whole_query`.
 fn driver_alone(criterion: &mut Criterion) {
     let hits = all_hits();
     let mut driver = Driver::new();
-    driver.ask();
-    let attempts: Vec<Attempt> = driver.running.iter().map(|(_, it)| it.clone()).collect();
+    driver.send_query();
+    let attempts: Vec<Attempt> = driver
+        .running
+        .iter()
+        .map(|(_, attempt)| attempt.clone())
+        .collect();
     let mut group = criterion.benchmark_group("query");
     group.throughput(Throughput::Elements(u64::from(SHARDS)));
     group.bench_function("driver_alone_190_shards", |bencher| {
@@ -277,26 +279,25 @@
     assert!(driver.answered > 0);
 }
 
-/// Resident memory of this process. Linux only; 0 elsewhere. A counting allocator would need
-/// unsafe code, which the workspace forbids.
+/// Resident memory of this process; 0 on other systems than Linux.
 fn resident_bytes() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
     pages.and_then(|pages| pages.parse().ok()).unwrap_or(0) * PAGE_BYTES
 }
 
-/// Printed, not timed: bytes that one query holds between planning and the first reply.
+/// Prints the resident memory of one query before the first reply.
 fn memory(_: &mut Criterion) {
     let mut driver = Driver::new();
-    driver.ask();
+    driver.send_query();
     driver.running.clear();
     let before = resident_bytes();
-    for _ in 0..COUNTED_QUERIES {
-        driver.ask();
-        // What the driver holds of an attempt is not the core's.
+    for _ in 0..MEASURED_QUERIES {
+        driver.send_query();
+        // Drops the driver's copy of the attempts.
         driver.running.clear();
     }
-    let bytes = resident_bytes().saturating_sub(before) / COUNTED_QUERIES;
+    let bytes = resident_bytes().saturating_sub(before) / MEASURED_QUERIES;
     println!("query/memory: {bytes} resident bytes a query in flight, of which the router's part");
 }
 
--- a/crates/thornbridge-core/src/context.rs
+++ b/crates/thornbridge-core/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the core is given with each call.
+//! Context of an event: time, random numbers, and queues of actions and signals.
 
 use crate::driver_action::Action;
 use crate::signal::Signal;
@@ -6,18 +6,18 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// The present time, the random generator, and where results go.
+/// Time of the event, random number generator, and output queues.
 pub struct Context<'a> {
-    /// The time of the event being handled.
+    /// Time of the event.
     pub now: Timestamp,
-    /// The one generator of the node.
+    /// The node's only random number generator.
     pub random: &'a mut Pcg64Mcg,
     pub(crate) actions: &'a mut VecDeque<Action>,
     pub(crate) signals: &'a mut VecDeque<Signal>,
 }
 
 impl<'a> Context<'a> {
-    /// A context that collects into the given queues. For drivers of single modules, as in tests.
+    /// Creates a context with the given output queues.
     pub fn new(
         now: Timestamp,
         random: &'a mut Pcg64Mcg,
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Asks the driver to do something.
+    /// Queues an action for the driver.
     pub fn act(&mut self, action: Action) {
         self.actions.push_back(action);
     }
 
-    /// Tells the other parts of the node something.
+    /// Queues a signal for other parts of the node.
     pub fn signal(&mut self, signal: Signal) {
         self.signals.push_back(signal);
     }
--- a/crates/thornbridge-core/src/control.rs
+++ b/crates/thornbridge-core/src/control.rs
@@ -1,4 +1,4 @@
-//! Control: membership, configuration, leases and health sharing, composed.
+//! Control plane of a node: membership, configuration, reader leases and health sharing.
 
 use crate::configuration::ConfigurationRegister;
 use crate::context::Context;
@@ -17,23 +17,23 @@
     PlatformFailure, PlatformRequest, PlatformResponse, WatchChange, WatchEnd,
 };
 
-/// The control part of one node.
+/// Control plane of a node.
 #[derive(Debug)]
 pub struct ControlPlane {
     /// Member list.
     pub membership: Membership,
-    /// Generation register.
+    /// Register of configuration generations.
     pub configuration: ConfigurationRegister,
-    /// Leases of the region's readers.
+    /// Reader leases of the region.
     pub readers: ReaderLeases,
     /// Health of back ends.
     pub health: HealthSharing,
     last_operation: u64,
-    machine_list: Option<OperationId>,
+    machine_list_operation: Option<OperationId>,
 }
 
 impl ControlPlane {
-    /// Control of a node that knows only itself.
+    /// Creates the control plane of a node without known members.
     pub fn new(
         parameters: &Parameters,
         own: MemberRecord,
@@ -51,33 +51,33 @@
             ),
             health: HealthSharing::new(parameters.health.clone(), expects_peers),
             last_operation: 0,
-            machine_list: None,
+            machine_list_operation: None,
         }
     }
 
-    /// First call.
+    /// Starts the control plane; must be called first.
     pub fn started(&mut self, context: &mut Context<'_>) {
         self.membership.started(context);
         self.readers.started(context.now);
-        self.readers_due(context);
+        self.run_reader_timers(context);
     }
 
-    /// A planned stop begins.
+    /// Starts a planned stop.
     pub fn leave(&mut self, context: &mut Context<'_>) {
         self.membership.leave(context);
         self.readers.leave(context, &mut self.last_operation);
-        self.follow_lease(context);
+        self.update_platform_reader(context);
     }
 
-    /// The members changed.
+    /// Handles a change of the member list.
     pub fn members_changed(&mut self, context: &mut Context<'_>, view: &Arc<MemberView>) {
         self.configuration.members_changed(context.now, view);
         self.readers.members_changed(context.now, view);
         self.health.members_changed(context, view);
-        self.timer_due_but_membership(context);
+        self.run_reader_and_configuration_timers(context);
     }
 
-    /// Takes a peer's message, unless it is about actions.
+    /// Handles a peer's message about membership, configuration or health; ignores others.
     pub fn peer_message(
         &mut self,
         context: &mut Context<'_>,
@@ -90,7 +90,7 @@
             }
             PeerMessage::Configuration(message) => {
                 self.configuration.peer_message(context, from, message);
-                self.share_platform_news(context.now);
+                self.forward_platform_contact(context.now);
             }
             PeerMessage::Health(message) => self.health.peer_message(context, from, message),
             PeerMessage::Action(_)
@@ -100,20 +100,20 @@
         }
     }
 
-    /// A link to a peer broke.
+    /// Handles the loss of a link to a peer.
     pub fn link_down(&mut self, context: &mut Context<'_>, address: SocketAddr) {
         self.membership.link_down(context, address);
     }
 
-    /// The process was paused or its clock jumped.
+    /// Handles a pause of the process or a jump of its clock.
     pub fn clock_jumped(&mut self, context: &mut Context<'_>) {
         self.membership.clock_jumped(context);
         self.health.clock_jumped(context);
         self.readers.clock_jumped(context, &mut self.last_operation);
-        self.follow_lease(context);
+        self.update_platform_reader(context);
     }
 
-    /// The platform answered.
+    /// Handles a response or failure of a request to the platform.
     pub fn platform_reply(
         &mut self,
         context: &mut Context<'_>,
@@ -123,8 +123,8 @@
         if is_answer(result) {
             self.configuration.record_platform_contact(context.now);
         }
-        if self.machine_list == Some(operation) {
-            self.machine_list = None;
+        if self.machine_list_operation == Some(operation) {
+            self.machine_list_operation = None;
             if let Ok(PlatformResponse::Machines(machines)) = result {
                 self.membership.machine_list_received(context, machines);
             }
@@ -132,36 +132,36 @@
         }
         self.readers
             .platform_reply(context, operation, result, &mut self.last_operation);
-        self.follow_lease(context);
+        self.update_platform_reader(context);
         self.configuration
             .platform_reply(context, operation, result, &mut self.last_operation);
-        self.share_platform_news(context.now);
+        self.forward_platform_contact(context.now);
     }
 
-    /// A watch saw a change. One that arrives after the lease ended is dropped.
+    /// Handles a change reported by a watch. Dropped if the reader lease has expired.
     pub fn watch_changed(
         &mut self,
         context: &mut Context<'_>,
         watch: WatchId,
         change: &WatchChange,
     ) {
-        self.readers_due(context);
+        self.run_reader_timers(context);
         self.configuration
             .watch_changed(context, watch, change, &mut self.last_operation);
     }
 
-    /// A watch ended.
+    /// Handles the end of a watch.
     pub fn watch_ended(&mut self, context: &mut Context<'_>, watch: WatchId, end: WatchEnd) {
         self.configuration.watch_ended(context, watch, end);
     }
 
-    /// A fresh identity for a request to the platform.
+    /// Allocates an id for a request to the platform.
     pub fn next_operation(&mut self) -> OperationId {
         self.last_operation += 1;
         OperationId(self.last_operation)
     }
 
-    /// When [`Self::timer_due`] wants to be called.
+    /// Time by which [`Self::timer_due`] must be called.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [
             self.membership.next_timeout(),
@@ -172,57 +172,57 @@
         timeouts.into_iter().flatten().min()
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn timer_due(&mut self, context: &mut Context<'_>) {
         self.membership.timer_due(context);
-        self.ask_for_machines(context);
+        self.request_machine_list(context);
         self.health.timer_due(context);
-        self.timer_due_but_membership(context);
+        self.run_reader_and_configuration_timers(context);
     }
 
-    /// A node that finds nobody reads the platform's list of machines once in a while.
-    fn ask_for_machines(&mut self, context: &mut Context<'_>) {
+    /// Requests the platform's list of machines if membership needs it to find members.
+    fn request_machine_list(&mut self, context: &mut Context<'_>) {
         if !self.membership.machine_list_due(context) {
             return;
         }
         let operation = self.next_operation();
-        self.machine_list = Some(operation);
+        self.machine_list_operation = Some(operation);
         let request = PlatformRequest::ListMachines;
         context.act(Action::Platform { operation, request });
     }
 
-    fn timer_due_but_membership(&mut self, context: &mut Context<'_>) {
-        self.readers_due(context);
+    fn run_reader_and_configuration_timers(&mut self, context: &mut Context<'_>) {
+        self.run_reader_timers(context);
         self.configuration
             .timer_due(context, &mut self.last_operation);
     }
 
-    fn readers_due(&mut self, context: &mut Context<'_>) {
+    fn run_reader_timers(&mut self, context: &mut Context<'_>) {
         self.readers.timer_due(context, &mut self.last_operation);
-        self.follow_lease(context);
+        self.update_platform_reader(context);
     }
 
-    /// The node reads the platform exactly while it holds a reader's lease.
-    fn follow_lease(&mut self, context: &mut Context<'_>) {
-        let reading = self.readers.held_token(context.now).is_some();
-        let standbys = if reading {
+    /// Starts or stops reading the platform: a node reads while it holds a reader lease.
+    fn update_platform_reader(&mut self, context: &mut Context<'_>) {
+        let holds_lease = self.readers.held_token(context.now).is_some();
+        let standbys = if holds_lease {
             self.readers.standbys()
         } else {
             Vec::new()
         };
         self.configuration
-            .set_platform_reader(context, reading, standbys);
+            .set_platform_reader(context, holds_lease, standbys);
     }
 
-    /// Candidates that wait behind the readers go by how long the platform was not heard.
-    fn share_platform_news(&mut self, now: Timestamp) {
+    /// Passes the last contact with the platform to the leases, where standby candidates use it.
+    fn forward_platform_contact(&mut self, now: Timestamp) {
         if let Some(age) = self.configuration.platform_age(now) {
             self.readers.record_platform_contact(now - age);
         }
     }
 }
 
-/// Whether the platform spoke: a refusal by precondition is an answer too.
+/// Whether the platform answered. A failed precondition counts as an answer.
 fn is_answer(result: &Result<PlatformResponse, PlatformFailure>) -> bool {
     matches!(result, Ok(_) | Err(PlatformFailure::Conflict { .. }))
 }
--- a/crates/thornbridge-core/src/counters.rs
+++ b/crates/thornbridge-core/src/counters.rs
@@ -1,8 +1,8 @@
-//! Counters of all parts, each defined beside the code that counts.
+//! Counters of all parts of a node.
 
 use serde::{Deserialize, Serialize};
 
-/// A copy of every counter.
+/// Snapshot of all counters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
     /// Routing.
--- a/crates/thornbridge-core/src/driver_action.rs
+++ b/crates/thornbridge-core/src/driver_action.rs
@@ -1,4 +1,4 @@
-//! What a node wants done.
+//! Actions that a node requests from its driver.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -23,130 +23,131 @@
 }
 
 handle_type!(
-    /// A driver's handle for a waiting caller; never used twice.
+    /// Driver-assigned id of a caller's request; never reused.
     CallerId
 );
 handle_type!(
-    /// The core's handle for one connection to a back end; never used twice.
+    /// Id of a connection to a back end; never reused.
     ConnectionId
 );
 handle_type!(
-    /// The core's handle for one request to the platform; never used twice.
+    /// Id of a request to the platform; never reused.
     OperationId
 );
 handle_type!(
-    /// The core's handle for one watch on the platform; never used twice.
+    /// Id of a watch on the platform; never reused.
     WatchId
 );
 
-/// Something that a driver carries out.
+/// An operation for the driver to execute.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Open a connection; answered by `ConnectionOpened` or `ConnectionLost`.
     OpenConnection {
-        /// Handle.
+        /// Id of the new connection.
         connection: ConnectionId,
-        /// Whose.
+        /// Back end.
         back_end: BackEndId,
-        /// Where to.
+        /// Address of the back end.
         address: SocketAddr,
     },
     /// Close a connection. No event follows.
     CloseConnection {
-        /// Handle.
+        /// Connection.
         connection: ConnectionId,
     },
-    /// Send an attempt on an open, idle connection; answered by `AttemptReplied` or `AttemptFailed`.
+    /// Send an attempt on an open, idle connection; answered by `AttemptReplied` or
+    /// `AttemptFailed`.
     SendAttempt {
-        /// Handle.
+        /// Connection.
         connection: ConnectionId,
-        /// The attempt.
+        /// Attempt.
         attempt: Attempt,
     },
-    /// Ask the back end to stop an attempt. The attempt's own event still follows.
+    /// Cancel an attempt at its back end. The attempt's reply or failure event still follows.
     CancelAttempt {
-        /// Connection it runs on.
+        /// Connection of the attempt.
         connection: ConnectionId,
         /// Address of the back end.
         address: SocketAddr,
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// Attempt.
         attempt: AttemptId,
     },
-    /// Ask a back end for its load and health; answered by `ProbeReplied` or `ProbeFailed`.
+    /// Request a back end's load report; answered by `ProbeReplied` or `ProbeFailed`.
     Probe {
-        /// The back end.
+        /// Back end.
         back_end: BackEndId,
-        /// Where.
+        /// Address of the back end.
         address: SocketAddr,
     },
-    /// Send to a peer, best effort; `PeerLinkDown` may follow.
+    /// Send a message to a peer, best effort; `PeerLinkDown` may follow.
     SendPeer {
         /// Peer address.
         to: SocketAddr,
         /// Message.
         message: PeerMessage,
     },
-    /// Ask the platform's store; answered by `PlatformReply`.
+    /// Send a request to the platform's store; answered by `PlatformReply`.
     Platform {
-        /// Handle.
+        /// Id of the request.
         operation: OperationId,
         /// Request.
         request: PlatformRequest,
     },
-    /// Watch objects of a kind after a version.
+    /// Watch objects of a kind for changes after a version.
     Watch {
-        /// Handle.
+        /// Id of the watch.
         watch: WatchId,
         /// Kind.
         kind: ObjectKind,
-        /// Changes after this one are wanted.
+        /// Version after which changes are reported.
         from: ResourceVersion,
     },
     /// End a watch. No event follows.
     StopWatch {
-        /// Handle.
+        /// Watch.
         watch: WatchId,
     },
     /// Answer a query.
     AnswerQuery {
-        /// Whom.
+        /// Caller.
         caller: CallerId,
         /// Answer.
         answer: QueryAnswer,
     },
     /// Answer an action.
     AnswerAction {
-        /// Whom.
+        /// Caller.
         caller: CallerId,
         /// Answer.
         answer: ActionAnswer,
     },
-    /// Refuse a request, or say that it failed.
+    /// Refuse a request or report its failure.
     Refuse {
-        /// Whom.
+        /// Caller.
         caller: CallerId,
-        /// Why.
+        /// Reason and details.
         refusal: Refusal,
     },
-    /// Readiness changed.
+    /// Report a change of readiness.
     SetReady {
-        /// Whether the node takes callers.
+        /// Whether the node accepts requests.
         ready: bool,
     },
-    /// The planned stop is complete: nothing is in flight.
+    /// Report the end of a planned stop: no request is in flight.
     Stopped,
-    /// A change of state, for the log.
+    /// Log a state change.
     StateChanged(StateChange),
-    /// A measurement, for metrics.
+    /// Record an observation in the metrics.
     Observe(Observation),
 }
 
-/// A change of state worth a line in the log.
+/// A state change for the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StateChange {
-    /// A generation came into force here.
+    /// A configuration generation became active on this node.
     #[serde(rename = "ConfigurationInForce")]
     ConfigurationActivated {
         /// Generation.
@@ -154,10 +155,10 @@
         /// Version.
         version: BundleVersion,
     },
-    /// A configuration was refused.
+    /// A configuration was rejected.
     #[serde(rename = "ConfigurationRefused")]
     ConfigurationRejected {
-        /// Why.
+        /// Reason.
         reason: String,
     },
     /// A member's state changed.
@@ -171,44 +172,44 @@
     },
     /// A back end became usable or unusable.
     BackEndChanged {
-        /// The back end.
+        /// Back end.
         back_end: BackEndId,
-        /// New state in words.
+        /// Text of the new state.
         state: String,
     },
     /// A lease was gained or lost.
     LeaseChanged {
-        /// What it protects.
+        /// Name of the lease.
         name: String,
-        /// Whether this node holds it now.
+        /// Whether this node holds the lease.
         held: bool,
         /// Fencing token.
         fencing_token: u64,
     },
     /// The platform became reachable or unreachable.
     PlatformChanged {
-        /// Whether it answers.
+        /// Whether the platform answers.
         reachable: bool,
     },
-    /// The node's own life: started, ready, leaving.
+    /// The lifecycle state of the node changed.
     Lifecycle {
-        /// New state in words.
+        /// Text of the new state.
         state: String,
     },
 }
 
-/// A measurement.
+/// An observation for the metrics.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Observation {
-    /// A query or action ended.
+    /// A query or action was answered or refused.
     RequestFinished {
         /// Service.
         service: ServiceName,
-        /// Time from arrival to answer.
+        /// Time from arrival to response.
         latency: Duration,
         /// Coverage of the answer; absent for refusals and actions.
         coverage: Option<f64>,
-        /// Why it was refused, where it was.
+        /// Reason of the refusal; absent for answers.
         refused: Option<thornbridge_proto::caller::RefusalReason>,
     },
 }
--- a/crates/thornbridge-core/src/event.rs
+++ b/crates/thornbridge-core/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a node.
+//! Events that a driver passes to a node.
 
 use crate::driver_action::{CallerId, ConnectionId, OperationId, WatchId};
 use serde::{Deserialize, Serialize};
@@ -9,122 +9,122 @@
 use thornbridge_proto::platform::{PlatformFailure, PlatformResponse, WatchChange, WatchEnd};
 use thornbridge_proto::{AttemptId, BackEndId};
 
-/// Something that happened, as a driver tells it.
+/// An event reported by the driver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// First event of a node's life.
+    /// The node starts; must be the first event.
     Started,
-    /// A caller asks; exactly one answer or refusal for `caller` follows, unless it goes away.
+    /// Query from a caller. Exactly one answer or refusal follows, unless the caller disconnects.
     CallerQuery {
-        /// Driver's handle for the answer.
+        /// Id for the response.
         caller: CallerId,
-        /// The query.
+        /// Query.
         request: QueryRequest,
     },
-    /// A caller asks for an action.
+    /// Action from a caller. Exactly one answer or refusal follows, unless the caller disconnects.
     CallerAction {
-        /// Driver's handle for the answer.
+        /// Id for the response.
         caller: CallerId,
-        /// The action.
+        /// Action.
         request: ActionRequest,
     },
-    /// A caller hung up; no answer is wanted any more.
+    /// A caller disconnected; no response is expected.
     #[serde(rename = "CallerGone")]
     CallerDisconnected {
-        /// Driver's handle.
+        /// Id of the request.
         caller: CallerId,
     },
-    /// A connection asked for is open.
+    /// A requested connection is open.
     ConnectionOpened {
-        /// The connection.
+        /// Connection.
         connection: ConnectionId,
     },
-    /// A connection could not be opened, or an idle or busy one was lost. Attempts that ran on
-    /// it fail by an [`Event::AttemptFailed`] of their own, before this event.
+    /// A connection could not be opened or was lost. An attempt in flight on the connection is
+    /// reported by [`Event::AttemptFailed`] before this event.
     ConnectionLost {
-        /// The connection.
+        /// Connection.
         connection: ConnectionId,
     },
-    /// A complete, well-formed reply. Its echoes are not yet checked against the attempt.
+    /// A complete, well-formed reply, not yet matched with the attempt.
     AttemptReplied {
-        /// The attempt that the connection was running.
+        /// Attempt in flight on the connection.
         attempt: AttemptId,
-        /// The reply.
+        /// Reply.
         reply: BackEndReply,
-        /// Load report in its headers.
+        /// Load report from the reply's headers.
         load: Option<LoadReport>,
     },
-    /// An attempt ended without a whole reply.
+    /// An attempt ended without a complete reply.
     AttemptFailed {
-        /// The attempt.
+        /// Attempt.
         attempt: AttemptId,
-        /// How.
+        /// Kind of failure.
         failure: AttemptFailure,
     },
     /// A probe was answered.
     ProbeReplied {
-        /// The back end.
+        /// Back end.
         back_end: BackEndId,
-        /// What it says of itself.
+        /// Load report of the back end.
         report: LoadReport,
     },
     /// A probe was not answered.
     ProbeFailed {
-        /// The back end.
+        /// Back end.
         back_end: BackEndId,
     },
-    /// A message from a peer whose hello was accepted.
+    /// A message from a peer whose handshake was accepted.
     PeerMessage {
         /// Sender.
         from: PeerEndpoint,
         /// Message.
         message: PeerMessage,
     },
-    /// A message to this address could not be delivered, or its link broke.
+    /// A message to a peer could not be delivered, or its link broke.
     PeerLinkDown {
-        /// The peer's address.
+        /// Address of the peer.
         address: std::net::SocketAddr,
     },
-    /// The platform's store answered, or will not.
+    /// The platform's store answered a request, or the request failed.
     PlatformReply {
-        /// Which operation.
+        /// Id of the request.
         operation: OperationId,
-        /// Answer or failure.
+        /// Response or failure.
         result: Result<PlatformResponse, PlatformFailure>,
     },
-    /// A watch saw a change.
+    /// A watch reported a change.
     WatchChanged {
-        /// The watch.
+        /// Watch.
         watch: WatchId,
-        /// The change.
+        /// Change.
         change: WatchChange,
     },
     /// A watch ended.
     WatchEnded {
-        /// The watch.
+        /// Watch.
         watch: WatchId,
-        /// Why.
+        /// Reason.
         end: WatchEnd,
     },
-    /// [`crate::Node::next_timeout`] has come.
+    /// The time of [`crate::Node::next_timeout`] has been reached.
     TimerDue,
-    /// A planned stop was asked for: finish, then [`crate::Action::Stopped`].
+    /// A planned stop was requested; [`crate::Action::Stopped`] follows when the node is idle.
     #[serde(rename = "StopAsked")]
     StopRequested,
-    /// The process was paused or its clock jumped by about this much.
+    /// The process was paused or its clock jumped.
     ClockJumped {
-        /// Time that passed unseen.
+        /// Approximate length of the pause or jump.
         by: Duration,
     },
 }
 
-/// How an attempt ended without a whole reply.
+/// Reason why an attempt ended without a complete reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptFailure {
-    /// No byte of it left: it certainly did not run.
+    /// No byte was sent; the attempt did not run.
     NotSent,
-    /// It left, and the connection broke before the whole reply came.
+    /// The connection broke before the complete reply was received.
     ConnectionBroken,
-    /// It left, and the reply is malformed, too large, or truncated.
+    /// The reply is malformed, too large or truncated.
     MalformedReply,
 }
--- a/crates/thornbridge-core/src/lib.rs
+++ b/crates/thornbridge-core/src/lib.rs
@@ -1,10 +1,10 @@
-//! Every decision of the query tier as a deterministic state machine without I/O.
+//! Core of the query tier: deterministic state machines without I/O.
 //!
-//! [`Node`] takes typed [`Event`]s with an injected time and gives back typed [`Action`]s.
-//! It holds no socket, clock, thread or global state, and draws random numbers from one seeded
-//! generator: the same events give the same actions. A driver calls [`Node::handle`], carries
-//! out what [`Node::poll_action`] gives until it is empty, and calls back with
-//! [`Event::TimerDue`] no later than [`Node::next_timeout`].
+//! [`Node`] handles typed [`Event`]s with an injected time and returns typed [`Action`]s. A node
+//! has no sockets, clock, threads or global state, and uses one seeded random number generator:
+//! the same events give the same actions. A driver calls [`Node::handle`], executes the actions
+//! returned by [`Node::poll_action`] until there are none, and sends [`Event::TimerDue`] no later
+//! than [`Node::next_timeout`].
 
 pub mod action;
 pub mod configuration;
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: composition only. Every decision is in the parts.
+//! The state machine of one node: passes events, signals and results between its parts.
 
 mod reporting;
 #[cfg(test)]
@@ -28,26 +28,26 @@
 use thornbridge_proto::peer::{PeerEndpoint, PeerMessage};
 use thornbridge_proto::{Incarnation, NodeName, RegionName, RequestId, ZoneName};
 
-/// What a node is told when it is made.
+/// Identity, peers and parameters of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSetup {
-    /// This run's identity and advertised peer address.
+    /// Node id of this run and advertised peer address.
     pub endpoint: PeerEndpoint,
-    /// Address for operators, told to the other members.
+    /// Address for operators, advertised to the other members.
     pub operator_address: SocketAddr,
-    /// Operator's name for it.
+    /// Name assigned by the operator.
     pub name: NodeName,
     /// Zone.
     pub zone: ZoneName,
     /// Region.
     pub region: RegionName,
-    /// Peers to join through.
+    /// Addresses of peers to join.
     pub seeds: Vec<SocketAddr>,
-    /// Keys that may approve bundles.
+    /// Keys whose signatures approve bundles.
     pub trusted_keys: Vec<TrustedKey>,
-    /// Seed of the node's random generator.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Tunable values.
+    /// Parameters of all modules.
     pub parameters: Parameters,
 }
 
@@ -58,7 +58,7 @@
     Stopped,
 }
 
-/// The composite state machine of one node.
+/// State machine of one node.
 #[derive(Debug)]
 pub struct Node {
     setup: NodeSetup,
@@ -78,7 +78,7 @@
 }
 
 impl Node {
-    /// A node that has not started: the first event must be [`Event::Started`].
+    /// Creates a node that has not started. The first event must be [`Event::Started`].
     pub fn new(setup: NodeSetup) -> Self {
         let own = MemberRecord {
             endpoint: setup.endpoint,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes one event. `now` must not go back.
+    /// Handles one event. `now` must not decrease.
     pub fn handle(&mut self, now: Timestamp, event: Event) {
         self.now = now;
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
@@ -159,11 +159,11 @@
                 load,
             } => {
                 let finished = self.router.attempt_replied(context, attempt, reply, load);
-                self.hand_over(now, finished);
+                self.dispatch_finished(now, finished);
             }
             Event::AttemptFailed { attempt, failure } => {
                 let finished = self.router.attempt_failed(context, attempt, failure);
-                self.hand_over(now, finished);
+                self.dispatch_finished(now, finished);
             }
             Event::ProbeReplied { back_end, report } => {
                 self.router.probe_replied(context, &back_end, &report);
@@ -199,15 +199,15 @@
             Event::StopRequested => self.stop_requested(now),
             Event::ClockJumped { .. } => self.control.clock_jumped(context),
         }
-        self.settle(now);
+        self.process_pending(now);
     }
 
-    /// The next thing to carry out; `None` when all is done.
+    /// Next action for the driver to execute; `None` if there is none.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When [`Event::TimerDue`] is wanted, at the latest.
+    /// Time by which [`Event::TimerDue`] must be handled.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [
             self.control.next_timeout(),
@@ -251,7 +251,11 @@
         }));
     }
 
-    fn hand_over(&mut self, now: Timestamp, finished: impl IntoIterator<Item = FinishedAttempt>) {
+    fn dispatch_finished(
+        &mut self,
+        now: Timestamp,
+        finished: impl IntoIterator<Item = FinishedAttempt>,
+    ) {
         for finished in finished {
             let mut context =
                 Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
@@ -273,21 +277,21 @@
         }
     }
 
-    /// Passes signals and releases on until there are none, then reports readiness and the end
-    /// of a stop.
-    fn settle(&mut self, now: Timestamp) {
+    /// Dispatches pending signals, finished attempts and releases until there are none, then
+    /// reports changes of readiness and the end of a planned stop.
+    fn process_pending(&mut self, now: Timestamp) {
         loop {
             if let Some(signal) = self.signals.pop_front() {
-                self.pass_on(now, signal);
+                self.dispatch_signal(now, signal);
             } else if let Some(finished) = self.router.poll_finished() {
-                self.hand_over(now, [finished]);
+                self.dispatch_finished(now, [finished]);
             } else if !self.released.is_empty() {
-                self.pass_release_on(now);
+                self.dispatch_release(now);
             } else {
                 break;
             }
         }
-        self.ask_platform_for_actions(now);
+        self.poll_action_platform_requests(now);
         let ready = self.readiness() == NodeReadiness::Ready;
         if ready != self.ready {
             self.ready = ready;
@@ -300,22 +304,22 @@
         }
     }
 
-    /// A node that reads the platform also sees to the claim group of actions.
-    fn ask_platform_for_actions(&mut self, now: Timestamp) {
-        let reading = self.control.readers.held_token(now).is_some();
-        self.action_engine.set_platform_reader(now, reading);
+    /// Sends the action engine's requests to the platform, if this node holds a reader lease.
+    fn poll_action_platform_requests(&mut self, now: Timestamp) {
+        let holds_lease = self.control.readers.held_token(now).is_some();
+        self.action_engine.set_platform_reader(now, holds_lease);
         let control = &mut self.control;
-        let asked = self
+        let request = self
             .action_engine
             .poll_platform_request(|| control.next_operation());
-        if let Some((operation, request)) = asked {
+        if let Some((operation, request)) = request {
             self.context(now)
                 .act(Action::Platform { operation, request });
         }
     }
 
-    /// Runs and refuses the requests whose turn or end has come.
-    fn pass_release_on(&mut self, now: Timestamp) {
+    /// Runs and refuses queued requests that the limits have released.
+    fn dispatch_release(&mut self, now: Timestamp) {
         let release = std::mem::take(&mut self.released);
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         let resources = &mut Resources {
@@ -340,7 +344,7 @@
         }
     }
 
-    fn pass_on(&mut self, now: Timestamp, signal: Signal) {
+    fn dispatch_signal(&mut self, now: Timestamp, signal: Signal) {
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         match signal {
             Signal::ConfigurationActivated(active) => {
@@ -373,7 +377,7 @@
         reason: RefusalReason::Leaving,
         executed: Executed::No,
         retry_after: Some(std::time::Duration::ZERO),
-        detail: "this node is stopping; ask another".to_owned(),
+        detail: "node is stopping; retry at another node".to_owned(),
     };
     context.act(Action::Refuse { caller, refusal });
 }
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -1,11 +1,11 @@
-//! What a node tells of itself: counters, status, readiness.
+//! Counters, status and readiness of a node.
 
 use super::{Lifecycle, Node};
 use crate::counters::Counters;
 use crate::status::{NodeReadiness, ServiceStatus, StatusReport};
 
 impl Node {
-    /// A copy of every counter.
+    /// Snapshot of all counters.
     pub fn counters(&self) -> Counters {
         Counters {
             routing: self.router.counters().clone(),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// What the node knows, for operators, as of the last event.
+    /// Status report for operators, as of the last event.
     pub fn status(&self) -> StatusReport {
         let active = self.control.configuration.active();
         StatusReport {
--- a/crates/thornbridge-core/src/node/tests/harness.rs
+++ b/crates/thornbridge-core/src/node/tests/harness.rs
@@ -242,8 +242,8 @@
 
     pub fn install(&mut self, spec: &BundleSpec) {
         let signal = Signal::ConfigurationActivated(spec.active_configuration());
-        self.node.pass_on(self.now, signal);
-        self.node.settle(self.now);
+        self.node.dispatch_signal(self.now, signal);
+        self.node.process_pending(self.now);
         self.execute_actions();
     }
 
--- a/crates/thornbridge-core/src/parameters.rs
+++ b/crates/thornbridge-core/src/parameters.rs
@@ -1,25 +1,25 @@
-//! Tunable values of the core, each with its reason and default in the module that uses it.
+//! Parameters of all modules of a node.
 
 use serde::{Deserialize, Serialize};
 
-/// All tunable values, by module.
+/// Parameters by module.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Parameters {
-    /// Balancing, health, connections.
+    /// Load balancing, outlier detection and connections.
     pub routing: crate::routing::RoutingParameters,
-    /// Admission and budgets.
+    /// Admission control and budgets of extra load.
     pub limits: crate::limits::LimitParameters,
-    /// Gathering and hedging.
+    /// Query execution.
     pub query: crate::query::QueryParameters,
     /// At-most-once actions.
     pub action: crate::action::ActionParameters,
-    /// Failure detection.
+    /// Membership and failure detection.
     pub membership: crate::membership::MembershipParameters,
-    /// Dissemination.
+    /// Dissemination of the configuration.
     pub configuration: crate::configuration::ConfigurationParameters,
-    /// Sharing of back ends' health.
+    /// Health sharing.
     pub health: crate::health::HealthParameters,
-    /// Leases.
+    /// Reader leases.
     pub lease: crate::lease::LeaseParameters,
 }
--- a/crates/thornbridge-core/src/planning.rs
+++ b/crates/thornbridge-core/src/planning.rs
@@ -1,4 +1,4 @@
-//! What planning a query and planning an action have in common.
+//! Validation shared by the planning of queries and actions.
 
 use crate::configuration::ActiveConfiguration;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use thornbridge_proto::caller::RefusalReason;
 use thornbridge_proto::limits::CALLER_TIMEOUT;
 
-/// A request that cannot be run.
+/// Refusal of a request that cannot be planned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PlanRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub(crate) reason: RefusalReason,
-    /// One sentence for the operator of the caller.
+    /// Message for the operator of the caller.
     pub(crate) detail: String,
 }
 
@@ -25,39 +25,39 @@
     Err(PlanRefusal { reason, detail })
 }
 
-/// The service that is asked, if it takes this kind of request.
+/// Finds a service of the active configuration that accepts this kind of request.
 pub(crate) fn find_service<'a>(
     active: Option<&'a Arc<ActiveConfiguration>>,
     name: &ServiceName,
     kind: ServiceKind,
 ) -> Result<(&'a Arc<ActiveConfiguration>, &'a Service), PlanRefusal> {
     let Some(active) = active else {
-        let detail = "this node has no configuration yet";
+        let detail = "no configuration received yet";
         return refuse(RefusalReason::NotReady, detail);
     };
     let Some(service) = active.service(name) else {
-        let detail = format!("the configuration has no service {name:?}");
+        let detail = format!("service {name:?} is not in the configuration");
         return refuse(RefusalReason::UnknownService, detail);
     };
     if service.kind != kind {
-        let taken = match service.kind {
+        let accepted = match service.kind {
             ServiceKind::Query => "queries, not actions",
             ServiceKind::Action => "actions, not queries",
         };
-        let detail = format!("service {name:?} takes {taken}");
+        let detail = format!("service {name:?} accepts {accepted}");
         return refuse(RefusalReason::WrongKind, detail);
     }
     Ok((active, service))
 }
 
-/// Checks the time that a caller allows.
+/// Checks the caller's timeout.
 pub(crate) fn check_timeout(timeout: Option<Duration>) -> Result<(), PlanRefusal> {
     let timeout = timeout.unwrap_or(CALLER_TIMEOUT);
     if timeout > Duration::ZERO && timeout <= CALLER_TIMEOUT {
         return Ok(());
     }
-    let most = CALLER_TIMEOUT.as_millis();
-    let asked = timeout.as_millis();
-    let detail = format!("timeout is {asked} ms; 1 to {most} ms is allowed");
+    let max_ms = CALLER_TIMEOUT.as_millis();
+    let timeout_ms = timeout.as_millis();
+    let detail = format!("timeout is {timeout_ms} ms; expected 1 to {max_ms} ms");
     refuse(RefusalReason::Invalid, detail)
 }
--- a/crates/thornbridge-core/src/resources.rs
+++ b/crates/thornbridge-core/src/resources.rs
@@ -1,22 +1,22 @@
-//! What the query and the action engine share.
+//! Resources shared by the query and action engines.
 
 use crate::context::Context;
 use crate::limits::{Limits, Release, RequestOutcome};
 use crate::routing::Router;
 use thornbridge_proto::ServiceName;
 
-/// The router, the limits, and what the limits release; borrowed for one event.
+/// Router, limits and released requests, borrowed for one event.
 pub struct Resources<'a> {
-    /// Chooses back ends and owns the connections.
+    /// Load balancing and connections.
     pub router: &'a mut Router,
-    /// Admission and budgets.
+    /// Admission control and budgets of extra load.
     pub limits: &'a mut Limits,
-    /// Requests whose turn or end came while an engine worked. [`crate::Node`] hands them on.
+    /// Queued requests to run or refuse. [`crate::Node`] passes them to their engines.
     pub released: &'a mut Release,
 }
 
 impl Resources<'_> {
-    /// A request that ran has ended; others may run now.
+    /// Reports the end of an admitted request, which may release queued requests.
     pub fn request_finished(
         &mut self,
         context: &Context<'_>,
--- a/crates/thornbridge-core/src/signal.rs
+++ b/crates/thornbridge-core/src/signal.rs
@@ -1,19 +1,19 @@
-//! What the parts of a node tell each other. [`crate::Node`] hands each signal on.
+//! Signals between the parts of a node, dispatched by [`crate::Node`].
 
 use crate::configuration::ActiveConfiguration;
 use crate::membership::MemberView;
 use std::sync::Arc;
 use thornbridge_proto::peer::health::HealthRecord;
 
-/// News between the parts of one node.
+/// A signal between the parts of a node.
 #[derive(Clone, Debug)]
 pub enum Signal {
-    /// From control: this configuration is in force from now on.
+    /// From the control plane: a configuration became active.
     ConfigurationActivated(Arc<ActiveConfiguration>),
-    /// From control: the members changed.
+    /// From the control plane: the member list changed.
     MembersChanged(Arc<MemberView>),
-    /// From health sharing: news of a back end, seen here or by a peer.
+    /// From health sharing: a back end's record changed, by this node or a peer.
     BackEndHealthUpdated(HealthRecord),
-    /// From routing: this node saw, in a reply or failure, news worth spreading.
+    /// From routing: a back end's state changed, as seen in a reply or failure.
     BackEndObserved(HealthRecord),
 }
--- a/crates/thornbridge-core/src/status.rs
+++ b/crates/thornbridge-core/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node knows, for operators: the body of `/v1/status`.
+//! Status report for operators: the body of `/v1/status`.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -6,81 +6,80 @@
 use thornbridge_proto::peer::membership::MemberRecord;
 use thornbridge_proto::{BackEndId, NodeId, NodeName, ServiceName, SnapshotId};
 
-/// A node's view of itself and of the others.
+/// Status of a node and its view of the cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// This run of the node.
+    /// Node id of this run.
     pub node: NodeId,
-    /// Its name.
+    /// Node name.
     pub name: NodeName,
-    /// Whether it takes callers, and if not, why.
+    /// Whether the node accepts requests, and the reason if not.
     pub readiness: NodeReadiness,
-    /// Configuration in force; absent before the first.
+    /// Active configuration; absent before the first.
     pub configuration: Option<ConfigurationReference>,
-    /// Why there is no configuration, in words; absent when there is one.
+    /// Reason why there is no configuration; absent if there is one.
     pub configuration_obstacle: Option<String>,
-    /// Members known, this node included.
+    /// Member list, including this node.
     pub members: Vec<MemberRecord>,
-    /// Leases seen from here.
+    /// Leases as seen by this node.
     pub leases: Vec<LeaseStatus>,
-    /// Time since the platform was last heard, by this node or through peers.
+    /// Time since the last contact with the platform, directly or through peers.
     pub platform_staleness: Option<Duration>,
-    /// Whether the platform answered this node last time; absent on a node that never asked it,
-    /// as most do not.
+    /// Whether the platform answered this node's last request; absent if there was none.
     pub platform_reachable: Option<bool>,
-    /// Back ends that are not plainly usable.
+    /// Back ends that are not fully usable.
     pub back_ends: Vec<BackEndStatus>,
     /// Services.
     pub services: Vec<ServiceStatus>,
 }
 
-/// Whether a node takes callers.
+/// Whether a node accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum NodeReadiness {
-    /// It does.
+    /// The node accepts requests.
     Ready,
-    /// No configuration learnt yet.
+    /// No configuration received yet.
     NoConfiguration,
-    /// Asking peers which back ends are leaving; ends within a second or so.
+    /// Waiting for the health state of back ends from a peer.
     LearningHealth,
-    /// Stopping.
+    /// The node is stopping.
     Leaving,
 }
 
-/// One lease.
+/// Status of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// What it protects.
+    /// Name of the lease.
     pub name: String,
-    /// Holder as last seen.
+    /// Last known holder.
     pub holder: Option<NodeId>,
-    /// Whether this node holds it.
+    /// Whether this node is the holder.
     pub held_here: bool,
-    /// Fencing token as last seen.
+    /// Last known fencing token.
     pub fencing_token: u64,
 }
 
-/// One back end that is not plainly usable.
+/// Status of a back end that is not fully usable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndStatus {
-    /// The back end.
+    /// Back end.
     pub back_end: BackEndId,
-    /// State in words: `leaving`, `ejected`, `unreachable`, `cold`.
+    /// State: `leaving`, `ejected`, `unreachable`, `cold`.
     pub state: String,
 }
 
-/// One service.
+/// Status of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// The service.
+    /// Service.
     pub service: ServiceName,
-    /// Requests running here.
+    /// Requests in flight on this node.
     pub in_flight: u32,
-    /// Requests waiting here.
+    /// Requests queued on this node.
     pub queued: u32,
-    /// Present limit on requests running here.
+    /// Current limit of requests in flight on this node.
     pub concurrency_limit: u32,
-    /// Snapshot that a query planned now would use.
+    /// Snapshot of a query planned now.
     pub snapshot: Option<SnapshotId>,
 }
--- a/crates/thornbridge-core/src/time.rs
+++ b/crates/thornbridge-core/src/time.rs
@@ -1,23 +1,23 @@
-//! Time as the core sees it.
+//! Monotonic timestamps.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Monotonic time since an epoch of the driver's choice. Says nothing about wall clocks,
-/// and two nodes' timestamps cannot be compared.
+/// Monotonic time since an epoch chosen by the driver. Not comparable with wall-clock time or with
+/// timestamps of other nodes.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp(Duration);
 
 impl Timestamp {
-    /// The driver's epoch.
+    /// The epoch.
     pub const ZERO: Self = Self(Duration::ZERO);
     /// Later than any event.
     pub const MAX: Self = Self(Duration::MAX);
 
-    /// The time this long after the epoch.
+    /// Creates a timestamp from the time since the epoch.
     pub const fn from_epoch(since: Duration) -> Self {
         Self(since)
     }
@@ -27,7 +27,7 @@
         self.0
     }
 
-    /// Time since `earlier`; zero when that is not earlier.
+    /// Time since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
