--- a/crates/thornbridge-core/src/routing/balancer.rs
+++ b/crates/thornbridge-core/src/routing/balancer.rs
@@ -95,7 +95,7 @@
     best.back_end
 }
 
-/// One step of a Fisher-Yates shuffle: swaps a random remaining candidate to `position`.
+/// Fisher-Yates step: swaps a random remaining candidate to `position`.
 fn draw(random: &mut impl Rng, candidates: &mut [Candidate], position: usize) -> Candidate {
     let other = random.random_range(position..candidates.len());
     candidates.swap(position, other);
--- a/crates/thornbridge-core/src/routing/connections.rs
+++ b/crates/thornbridge-core/src/routing/connections.rs
@@ -156,7 +156,7 @@
         }
         let kept = self.peak_in_use.max(parameters.warm);
         if self.open() > kept && !self.idle.is_empty() {
-            // The first one has been idle longest.
+            // The front connection has been idle longest.
             return Some(self.idle.remove(0));
         }
         self.housekeeping_passes = 0;
