--- a/crates/thornbridge-core/tests/control/lease_model.rs
+++ b/crates/thornbridge-core/tests/control/lease_model.rs
@@ -1,4 +1,4 @@
-//! Nodes that compete for one lease over the model store, and what must hold of every write.
+//! Model of nodes that compete for one lease in the model store, with the invariants of its writes.
 
 use crate::model_store::ModelStore;
 use std::time::Duration;
@@ -10,33 +10,33 @@
 
 pub const LEASE: &str = "reader";
 
-/// How the store treats one request.
+/// Fault injected into one request to the store.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     None,
     Unreachable,
     RequestLost,
     AnswerLost,
-    /// The caller hears nothing, and the request arrives later.
+    /// The caller gets no answer, and the request takes effect later.
     Delayed,
-    /// The request takes effect, and the answer comes only when the node is asked to take it.
+    /// The request takes effect, and the answer arrives at the node's next step.
     SlowAnswer,
 }
 
-/// One node: its lease, and its own clock.
+/// A node with its lease and its clock.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     pub lease: Lease,
-    /// Own clock less true time: differs between nodes, and changes when a clock jumps.
+    /// Difference between the node's clock and the time of the model; grows on clock jumps.
     pub clock_offset: Duration,
-    /// Whether the clock ever ran wrong without the node being told.
+    /// Whether the clock ever jumped undetected.
     pub undetected_jump: bool,
-    pub answer: Option<Answer>,
+    pub pending_answer: Option<Answer>,
 }
 
 type Answer = Result<thornbridge_proto::platform::PlatformResponse, PlatformFailure>;
 
-/// A write of the lease, and when it took effect.
+/// A write of the lease that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write {
     pub at: Duration,
@@ -44,6 +44,7 @@
     pub object: LeaseObject,
 }
 
+/// Candidates for one lease, with the store and the time of the model.
 #[derive(Clone, Debug)]
 pub struct LeaseModel {
     pub now: Duration,
@@ -57,15 +58,15 @@
 
 impl LeaseModel {
     pub fn new(parameters: LeaseParameters, clock_offsets: &[Duration]) -> Self {
-        let candidates = clock_offsets.iter().enumerate().map(|(index, ahead)| {
+        let candidates = clock_offsets.iter().enumerate().map(|(index, offset)| {
             let node = NodeId(index as u64 + 1);
             let mut lease = Lease::new(parameters.clone(), LEASE.to_owned(), node);
-            lease.set_wanted(Timestamp::from_epoch(*ahead), true);
+            lease.set_wanted(Timestamp::from_epoch(*offset), true);
             Candidate {
                 lease,
-                clock_offset: *ahead,
+                clock_offset: *offset,
                 undetected_jump: false,
-                answer: None,
+                pending_answer: None,
             }
         });
         Self {
@@ -83,11 +84,11 @@
         Timestamp::from_epoch(self.now + self.candidates[index].clock_offset)
     }
 
-    /// Lets one node take a slow answer, or ask what is due.
+    /// Delivers a slow answer to one node, or sends the node's next request if one is due.
     pub fn step(&mut self, index: usize, fault: Fault) {
         let clock = self.clock(index);
         let counters = &mut LeaseCounters::default();
-        if let Some(answer) = self.candidates[index].answer.take() {
+        if let Some(answer) = self.candidates[index].pending_answer.take() {
             let lease = &mut self.candidates[index].lease;
             return lease.handle_reply(clock, &answer, 1.0, counters);
         }
@@ -110,20 +111,19 @@
         };
         let candidate = &mut self.candidates[index];
         if matches!(fault, Fault::SlowAnswer) {
-            candidate.answer = Some(answer);
+            candidate.pending_answer = Some(answer);
         } else {
             candidate.lease.handle_reply(clock, &answer, 1.0, counters);
         }
     }
 
-    /// Whether the node's next request, if one is due, is a write.
+    /// Whether the node's next due request is a write.
     pub fn next_request_is_write(&self, index: usize) -> bool {
         let mut lease = self.candidates[index].lease.clone();
         let request = lease.poll(self.clock(index), true, &mut LeaseCounters::default());
         matches!(request, Some(PlatformRequest::Put { .. }))
     }
 
-    /// The node has reason to think that the holder is gone.
     pub fn check_now(&mut self, index: usize) {
         let clock = self.clock(index);
         self.candidates[index].lease.check_now(clock);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The clock jumps ahead; the node is told, or not.
+    /// Advances a node's clock; the node notices only if `detected` is set.
     pub fn jump_clock(&mut self, index: usize, by: Duration, detected: bool) {
         self.candidates[index].clock_offset += by;
         let clock = self.clock(index);
@@ -163,9 +163,9 @@
         result
     }
 
-    /// Every write that takes effect is a renewal or release by the holder with its own token, or
-    /// a take-over with the next token: after a release, by the same node, or after a whole
-    /// duration without a write.
+    /// A write that takes effect renews or releases the writer's own lease, or acquires a free or
+    /// expired lease with the next token. A lease is free once released, and also for its last
+    /// holder.
     fn check_write(&self, write: &Write) {
         let object = &write.object;
         let Some(last) = &self.last_write else {
@@ -183,19 +183,19 @@
         }
         assert_eq!(object.fencing_token, last.object.fencing_token + 1);
         assert_eq!(object.holder, Some(write.writer));
-        let free = last
+        let is_free = last
             .object
             .holder
             .is_none_or(|holder| holder == write.writer);
-        let expired = write.at >= last.at + self.parameters.duration;
+        let is_expired = write.at >= last.at + self.parameters.duration;
         assert!(
-            free || expired || self.undetected_jump,
-            "taken over too early"
+            is_free || is_expired || self.undetected_jump,
+            "lease acquired before its expiry: {write:?}"
         );
     }
 
-    /// A node whose clock is honest believes that it holds only what the store says it holds, and
-    /// two such nodes never believe so at once.
+    /// Checks that each node holds only what the store shows, and that at most one node holds the
+    /// lease, unless a clock jumped undetected.
     pub fn check_invariants(&self) {
         let mut holders = 0;
         for (index, candidate) in self.candidates.iter().enumerate() {
--- a/crates/thornbridge-core/tests/control/leases.rs
+++ b/crates/thornbridge-core/tests/control/leases.rs
@@ -1,4 +1,4 @@
-//! Nodes competing for a lease: pauses, clocks that jump, lost and late answers.
+//! Tests of nodes that compete for a lease with pauses, clock jumps, and lost or late answers.
 
 use crate::lease_model::{Fault, LeaseModel};
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
     },
 }
 
-/// The oracle is in the world: rules for each write, and for who may believe what.
+/// Reference without a state; [`LeaseModel`] checks each write and who holds the lease.
 #[derive(Clone, Debug)]
 pub struct Stateless;
 
@@ -104,8 +104,8 @@
     }
 }
 
-/// Without faults, one of those who want the lease comes to hold it, and keeps it.
-fn settle(model: &mut LeaseModel) {
+/// Checks that exactly one node holds the lease after a period without faults.
+fn check_recovery(model: &mut LeaseModel) {
     while !model.delayed.is_empty() {
         model.deliver_delayed(0);
     }
@@ -121,16 +121,16 @@
     }
     model.undetected_jump = false;
     model.check_invariants();
-    let held = |index: &usize| {
+    let holds = |index: &usize| {
         let lease = &model.candidates[*index].lease;
         lease.held_token(model.clock(*index)).is_some()
     };
-    assert_eq!((0..CANDIDATES).filter(held).count(), 1);
+    assert_eq!((0..CANDIDATES).filter(holds).count(), 1);
 }
 
-pub struct LeaseTest;
+pub struct LeaseModelTest;
 
-impl StateMachineTest for LeaseTest {
+impl StateMachineTest for LeaseModelTest {
     type SystemUnderTest = LeaseModel;
     type Reference = Stateless;
 
@@ -148,7 +148,7 @@
     }
 
     fn teardown(mut model: LeaseModel) {
-        settle(&mut model);
+        check_recovery(&mut model);
     }
 }
 
@@ -166,15 +166,16 @@
     #![proptest_config(config())]
 
     #[test]
-    fn one_holder_at_a_time_and_no_stale_write_takes_effect(sequential 1..200 => LeaseTest);
+    fn lease_has_one_holder_and_rejects_stale_writes(sequential 1..200 => LeaseModelTest);
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// A node that is never told of a jump may believe what is not so, but its writes do nothing.
+    /// An undetected clock jump can make a node consider an expired lease held, but its writes are
+    /// rejected.
     #[test]
-    fn a_deceived_node_does_no_harm(
+    fn undetected_clock_jump_causes_no_stale_write(
         before in 0..40_usize,
         jumps in prop::collection::vec((0..CANDIDATES, 1..20_u64, 0..20_usize), 1..5),
     ) {
@@ -191,11 +192,11 @@
             model.jump_clock(index, Duration::from_secs(seconds), false);
             run(&mut model, steps);
         }
-        settle(&mut model);
+        check_recovery(&mut model);
     }
 }
 
-/// Steps until the first candidate holds the lease.
+/// A model in which the first candidate holds the lease.
 fn model_held_by_first() -> LeaseModel {
     let mut model = model();
     for _ in 0..3 {
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn a_holder_paused_past_expiry_loses_to_its_successor() {
+fn holder_paused_past_expiry_loses_the_lease() {
     let mut model = model_held_by_first();
     model.step(1, Fault::None);
     model.now += Duration::from_secs(5);
@@ -236,14 +237,14 @@
 }
 
 #[test]
-fn a_paused_holder_whose_clock_stood_still_writes_nothing_though_it_believes() {
+fn renewal_by_expired_holder_with_slow_clock_is_rejected() {
     let mut model = model_held_by_first();
     model.step(1, Fault::None);
     model.now += Duration::from_secs(6);
     for _ in 0..3 {
         model.step(1, Fault::None);
     }
-    // The first node's clock did not see the six seconds: it still believes.
+    // The first node's clock is behind, so the node still considers the lease held.
     model.undetected_jump = true;
     model.candidates[0].clock_offset = Duration::ZERO;
     let paused_at = model.now.saturating_sub(Duration::from_secs(4));
@@ -259,7 +260,7 @@
     assert_eq!(
         model.store.writes.len(),
         write_count,
-        "its renewal is refused"
+        "a renewal by an expired holder took effect"
     );
     assert!(
         model.candidates[0]
@@ -270,7 +271,7 @@
 }
 
 #[test]
-fn a_lease_given_back_is_taken_at_once() {
+fn released_lease_is_acquired_without_delay() {
     let mut model = model_held_by_first();
     model.step(1, Fault::None);
     let clock = model.clock(0);
@@ -288,9 +289,9 @@
     );
 }
 
-/// Found by exploration at depth 9: the store still shows the write before the one in doubt.
+/// Guards against extending a lease by an uncertain renewal while the store shows an earlier write.
 #[test]
-fn a_renewal_in_doubt_does_not_prolong_what_an_earlier_write_granted() {
+fn uncertain_renewal_does_not_extend_the_lease() {
     let mut model = model_held_by_first();
     model.step(1, Fault::None);
     model.now = Duration::from_secs(4);
--- a/crates/thornbridge-core/tests/control/model_store.rs
+++ b/crates/thornbridge-core/tests/control/model_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as its contract says: one history of versions, compare-and-swap.
+//! Model of the platform's store: compare-and-swap on objects with one sequence of versions.
 
 use std::collections::BTreeMap;
 use thornbridge_proto::platform::{
@@ -6,7 +6,7 @@
     StoredObject,
 };
 
-/// Objects, and every write that took effect, in order.
+/// Stored objects, and all writes that took effect, in order.
 #[derive(Clone, Debug, Default)]
 pub struct ModelStore {
     objects: BTreeMap<(ObjectKind, String), StoredObject>,
@@ -57,13 +57,13 @@
         precondition: Precondition,
     ) -> Result<PlatformResponse, PlatformFailure> {
         let current = self.get(kind, name);
-        let holds = match precondition {
+        let is_met = match precondition {
             Precondition::Absent => current.is_none(),
             Precondition::Version(version) => {
                 current.is_some_and(|object| object.resource_version == version)
             }
         };
-        if !holds {
+        if !is_met {
             return Err(PlatformFailure::Conflict {
                 current: current.cloned(),
             });
