--- a/crates/thornbridge-core/tests/control/cluster.rs
+++ b/crates/thornbridge-core/tests/control/cluster.rs
@@ -1,4 +1,4 @@
-//! Whole control planes over a lossy network and the model store, in virtual time.
+//! Simulated cluster of control planes over a lossy network and the model store, in virtual time.
 
 use crate::model_store::ModelStore;
 use crate::sample;
@@ -21,35 +21,36 @@
 
 pub type Host = usize;
 
-/// One node.
+/// Process of a node, with its control plane.
 pub struct Process {
     pub control: ControlPlane,
     pub endpoint: PeerEndpoint,
     pub region: usize,
     pub running: bool,
     pub paused: bool,
-    /// Cut off from the platform.
-    pub platform_cut: bool,
+    /// The node cannot reach the platform.
+    pub platform_unreachable: bool,
     pub configuration_bytes: u64,
     pub other_bytes: u64,
-    /// Generations in the order in which they came into force.
+    /// Generations in the order of their activation.
     pub generations: Vec<Generation>,
     pub activated_at: Timestamp,
     random: Pcg64Mcg,
     timer: Timestamp,
-    held: Vec<Happening>,
+    /// Events that arrived during a pause.
+    deferred: Vec<Event>,
 }
 
 #[derive(Clone)]
-enum Happening {
-    Peer(PeerEndpoint, Box<PeerMessage>),
-    Reply(OperationId, Result<PlatformResponse, PlatformFailure>),
+enum Event {
+    PeerMessage(PeerEndpoint, Box<PeerMessage>),
+    PlatformReply(OperationId, Result<PlatformResponse, PlatformFailure>),
     WatchChanged(WatchId, WatchChange),
     WatchEnded(WatchId, WatchEnd),
     Timer(Timestamp),
 }
 
-/// What the network and the store do.
+/// Faults and delays of the network and the platform.
 #[derive(Clone, Debug)]
 pub struct Conditions {
     pub loss: f64,
@@ -58,9 +59,9 @@
     pub platform_delay: Duration,
     pub regions_split: bool,
     pub platform_down: bool,
-    /// Share of requests to the platform whose answer is lost.
-    pub lost_answers: f64,
-    /// Watches stay open but say nothing.
+    /// Share of platform requests whose reply is lost.
+    pub reply_loss: f64,
+    /// Watches stay open but report no changes.
     pub watches_silent: bool,
 }
 
@@ -73,7 +74,7 @@
             platform_delay: Duration::from_millis(5),
             regions_split: false,
             platform_down: false,
-            lost_answers: 0.0,
+            reply_loss: 0.0,
             watches_silent: false,
         }
     }
@@ -84,13 +85,13 @@
     pub conditions: Conditions,
     pub processes: Vec<Process>,
     pub store: ModelStore,
-    /// Requests to the platform since this was cleared.
-    pub platform_uses: Vec<(Timestamp, Host)>,
+    /// Platform requests since the list was cleared.
+    pub platform_requests: Vec<(Timestamp, Host)>,
     parameters: Parameters,
     hosts: BTreeMap<SocketAddr, Host>,
     watches: Vec<(Host, WatchId, ObjectKind)>,
     queue: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    happenings: BTreeMap<u64, (Host, Happening)>,
+    events: BTreeMap<u64, (Host, Event)>,
     last_event: u64,
     changes: u64,
     random: Pcg64Mcg,
@@ -107,12 +108,12 @@
             conditions,
             processes: Vec::new(),
             store: ModelStore::default(),
-            platform_uses: Vec::new(),
+            platform_requests: Vec::new(),
             parameters: Parameters::default(),
             hosts: BTreeMap::new(),
             watches: Vec::new(),
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            events: BTreeMap::new(),
             last_event: 0,
             changes: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -124,7 +125,7 @@
         SocketAddr::from(([10, 0, high, low], 7400))
     }
 
-    /// Starts a node on a machine. The seeds are the first three machines.
+    /// Starts a node on a machine. The first three machines are the seeds.
     pub fn start(&mut self, machine: usize, region: usize) -> Host {
         let host = self.processes.len();
         let endpoint = PeerEndpoint {
@@ -148,14 +149,14 @@
             region,
             running: true,
             paused: false,
-            platform_cut: false,
+            platform_unreachable: false,
             configuration_bytes: 0,
             other_bytes: 0,
             generations: Vec::new(),
             activated_at: Timestamp::ZERO,
             random: Pcg64Mcg::seed_from_u64(self.random.random()),
             timer: Timestamp::MAX,
-            held: Vec::new(),
+            deferred: Vec::new(),
         });
         self.hosts.insert(endpoint.address, host);
         self.drive(host, |control, context| control.started(context));
@@ -178,11 +179,11 @@
         self.processes[host].paused = true;
     }
 
-    /// Ends a pause: what was held arrives, oldest first, before any timer.
+    /// Ends a pause: delivers the deferred events in order, then fires the timers that are due.
     pub fn resume(&mut self, host: Host) {
         self.processes[host].paused = false;
-        for happening in std::mem::take(&mut self.processes[host].held) {
-            self.happen(host, happening);
+        for event in std::mem::take(&mut self.processes[host].deferred) {
+            self.handle_event(host, event);
         }
         self.drive(host, |control, context| control.timer_due(context));
     }
@@ -195,31 +196,31 @@
         self.conditions.platform_down = down;
         if down {
             for (host, watch, _) in std::mem::take(&mut self.watches) {
-                self.schedule(self.now, host, Happening::WatchEnded(watch, WatchEnd::Lost));
+                self.schedule(self.now, host, Event::WatchEnded(watch, WatchEnd::Lost));
             }
         }
     }
 
-    /// Ends every watch as one that asks for a version no longer kept.
+    /// Compacts the history of the store, which ends every watch.
     pub fn compact(&mut self) {
         for (host, watch, _) in std::mem::take(&mut self.watches) {
-            let ended = Happening::WatchEnded(watch, WatchEnd::Compacted);
+            let ended = Event::WatchEnded(watch, WatchEnd::Compacted);
             self.schedule(self.now, host, ended);
         }
     }
 
-    /// Carries out an operator's command without delay.
-    pub fn operate(&mut self, command: OperatorCommand) {
+    /// Executes an operator command without delay.
+    pub fn run_command(&mut self, command: OperatorCommand) {
         self.changes += 1;
         let change = ChangeId::new(format!("change-{}", self.changes));
         let mut session = OperatorSession::new(command, change);
-        let mut last = None;
+        let mut reply = None;
         loop {
-            match session.step(last.take()) {
-                OperatorStep::Request(request) => last = Some(self.apply(&request)),
+            match session.step(reply.take()) {
+                OperatorStep::Request(request) => reply = Some(self.apply(&request)),
                 OperatorStep::Wait(_) => {}
                 OperatorStep::Done(result) => {
-                    result.expect("nobody else operates");
+                    result.expect("no other operator session runs");
                     return;
                 }
             }
@@ -229,16 +230,21 @@
     fn apply(&mut self, request: &PlatformRequest) -> Result<PlatformResponse, PlatformFailure> {
         let result = self.store.apply(request);
         if let Ok(PlatformResponse::Written { .. }) = result {
-            self.notify();
+            self.notify_watches();
         }
         result
     }
 
-    fn notify(&mut self) {
+    fn notify_watches(&mut self) {
         if self.conditions.watches_silent {
             return;
         }
-        let object = self.store.writes.last().expect("just written").clone();
+        let object = self
+            .store
+            .writes
+            .last()
+            .expect("the store was just written")
+            .clone();
         let at = self.now + self.conditions.platform_delay;
         for (host, watch, kind) in self.watches.clone() {
             if kind == object.kind {
@@ -246,7 +252,7 @@
                     object: object.clone(),
                     deleted: false,
                 };
-                self.schedule(at, host, Happening::WatchChanged(watch, change));
+                self.schedule(at, host, Event::WatchChanged(watch, change));
             }
         }
     }
@@ -277,25 +283,25 @@
         self.running().into_iter().filter(reads).collect()
     }
 
-    /// Nodes that sent the platform a request.
+    /// Nodes that sent a platform request.
     pub fn platform_users(&self) -> BTreeSet<Host> {
-        let uses = self.platform_uses.iter();
+        let uses = self.platform_requests.iter();
         uses.map(|(_, host)| *host).collect()
     }
 
-    /// Most nodes that sent the platform a request within any ten seconds.
-    pub fn most_platform_users(&self) -> usize {
-        let mut most = 0;
-        for (index, (from, _)) in self.platform_uses.iter().enumerate() {
-            let window = self.platform_uses[index..].iter();
-            let window = window.take_while(|(at, _)| at.since(*from) <= seconds(10.0));
+    /// Largest number of nodes that sent platform requests within ten seconds.
+    pub fn max_platform_users(&self) -> usize {
+        let mut maximum = 0;
+        for (index, (start, _)) in self.platform_requests.iter().enumerate() {
+            let window = self.platform_requests[index..].iter();
+            let window = window.take_while(|(at, _)| at.since(*start) <= seconds(10.0));
             let users: BTreeSet<Host> = window.map(|(_, host)| *host).collect();
-            most = most.max(users.len());
+            maximum = maximum.max(users.len());
         }
-        most
+        maximum
     }
 
-    /// Runs until the condition holds, checked every 10 ms; gives the time it took.
+    /// Runs until the condition holds, checked every 10 ms; returns the elapsed time.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -319,40 +325,40 @@
             }
             self.queue.pop();
             self.now = at;
-            if let Some((host, happening)) = self.happenings.remove(&event) {
-                self.arrive(host, happening);
+            if let Some((host, event)) = self.events.remove(&event) {
+                self.deliver(host, event);
             }
         }
         self.now = end;
     }
 
-    fn arrive(&mut self, host: Host, happening: Happening) {
+    fn deliver(&mut self, host: Host, event: Event) {
         let process = &mut self.processes[host];
         if !process.paused {
-            self.happen(host, happening);
-        } else if !matches!(happening, Happening::Timer(_)) {
-            process.held.push(happening);
+            self.handle_event(host, event);
+        } else if !matches!(event, Event::Timer(_)) {
+            process.deferred.push(event);
         }
     }
 
-    fn happen(&mut self, host: Host, happening: Happening) {
-        match happening {
-            Happening::Peer(from, message) => self.drive(host, |control, context| {
+    fn handle_event(&mut self, host: Host, event: Event) {
+        match event {
+            Event::PeerMessage(from, message) => self.drive(host, |control, context| {
                 control.peer_message(context, from, *message);
             }),
-            Happening::Reply(operation, result) => self.drive(host, |control, context| {
+            Event::PlatformReply(operation, result) => self.drive(host, |control, context| {
                 control.platform_reply(context, operation, &result);
             }),
-            Happening::WatchChanged(watch, change) => self.drive(host, |control, context| {
+            Event::WatchChanged(watch, change) => self.drive(host, |control, context| {
                 control.watch_changed(context, watch, &change);
             }),
-            Happening::WatchEnded(watch, end) => self.drive(host, |control, context| {
+            Event::WatchEnded(watch, end) => self.drive(host, |control, context| {
                 control.watch_ended(context, watch, end);
             }),
-            Happening::Timer(at) if self.processes[host].timer == at => {
+            Event::Timer(at) if self.processes[host].timer == at => {
                 self.drive(host, |control, context| control.timer_due(context));
             }
-            Happening::Timer(_) => {}
+            Event::Timer(_) => {}
         }
     }
 
@@ -374,7 +380,10 @@
                 Signal::ConfigurationActivated(active) => {
                     let generation = active.record.generation;
                     let last = process.generations.last();
-                    assert!(last.is_none_or(|last| *last < generation), "went back");
+                    assert!(
+                        last.is_none_or(|last| *last < generation),
+                        "generation {generation} activated after {last:?}"
+                    );
                     process.generations.push(generation);
                     process.activated_at = self.now;
                 }
@@ -382,7 +391,7 @@
             }
         }
         for action in actions {
-            self.carry_out(host, action);
+            self.execute(host, action);
         }
         self.set_timer(host);
     }
@@ -395,61 +404,64 @@
         let at = next.max(self.now);
         if process.timer != at || at == self.now {
             process.timer = at;
-            self.schedule(at, host, Happening::Timer(at));
+            self.schedule(at, host, Event::Timer(at));
         }
     }
 
-    fn carry_out(&mut self, host: Host, action: Action) {
+    fn execute(&mut self, host: Host, action: Action) {
         match action {
             Action::SendPeer { to, message } => self.send(host, to, message),
-            Action::Platform { operation, request } => self.ask(host, operation, &request),
-            Action::Watch { watch, kind, from } => self.watch(host, watch, kind, from),
+            Action::Platform { operation, request } => {
+                self.request_platform(host, operation, &request)
+            }
+            Action::Watch { watch, kind, from } => self.open_watch(host, watch, kind, from),
             Action::StopWatch { watch } => {
-                let other = |open: &(Host, WatchId, ObjectKind)| (open.0, open.1) != (host, watch);
-                self.watches.retain(other);
+                let is_other =
+                    |open: &(Host, WatchId, ObjectKind)| (open.0, open.1) != (host, watch);
+                self.watches.retain(is_other);
             }
             _ => {}
         }
     }
 
     fn reaches_platform(&self, host: Host) -> bool {
-        !self.conditions.platform_down && !self.processes[host].platform_cut
+        !self.conditions.platform_down && !self.processes[host].platform_unreachable
     }
 
-    fn ask(&mut self, host: Host, operation: OperationId, request: &PlatformRequest) {
-        self.platform_uses.push((self.now, host));
+    fn request_platform(&mut self, host: Host, operation: OperationId, request: &PlatformRequest) {
+        self.platform_requests.push((self.now, host));
         let result = if !self.reaches_platform(host) {
             Err(PlatformFailure::Unreachable)
         } else {
             let result = self.apply(request);
-            if self.random.random_bool(self.conditions.lost_answers) {
+            if self.random.random_bool(self.conditions.reply_loss) {
                 Err(PlatformFailure::NoAnswer)
             } else {
                 result
             }
         };
         let at = self.now + self.conditions.platform_delay;
-        self.schedule(at, host, Happening::Reply(operation, result));
+        self.schedule(at, host, Event::PlatformReply(operation, result));
     }
 
-    fn watch(&mut self, host: Host, watch: WatchId, kind: ObjectKind, from: ResourceVersion) {
+    fn open_watch(&mut self, host: Host, watch: WatchId, kind: ObjectKind, from: ResourceVersion) {
         let at = self.now + self.conditions.platform_delay;
         if !self.reaches_platform(host) {
-            self.schedule(at, host, Happening::WatchEnded(watch, WatchEnd::Lost));
+            self.schedule(at, host, Event::WatchEnded(watch, WatchEnd::Lost));
             return;
         }
         self.watches.push((host, watch, kind));
         let writes = self.store.writes.iter();
-        let missed: Vec<_> = writes
+        let past_writes: Vec<_> = writes
             .filter(|object| object.kind == kind && object.resource_version > from)
             .cloned()
             .collect();
-        for object in missed {
+        for object in past_writes {
             let change = WatchChange {
                 object,
                 deleted: false,
             };
-            self.schedule(at, host, Happening::WatchChanged(watch, change));
+            self.schedule(at, host, Event::WatchChanged(watch, change));
         }
     }
 
@@ -464,36 +476,37 @@
         let Some(host) = self.hosts.get(&to).copied() else {
             return;
         };
-        let across = self.processes[host].region != region;
+        let cross_region = self.processes[host].region != region;
         let lost = self.random.random_bool(self.conditions.loss);
-        if lost || (across && self.conditions.regions_split) || !self.processes[host].running {
+        if lost || (cross_region && self.conditions.regions_split) || !self.processes[host].running
+        {
             return;
         }
-        let delay = if across {
+        let delay = if cross_region {
             self.conditions.delay_between_regions
         } else {
             self.conditions.delay_in_region
         };
         let delay = delay.mul_f64(self.random.random_range(0.8..1.5));
-        let arrival = Happening::Peer(endpoint, Box::new(message));
-        self.schedule(self.now + delay, host, arrival);
+        let delivery = Event::PeerMessage(endpoint, Box::new(message));
+        self.schedule(self.now + delay, host, delivery);
     }
 
-    fn schedule(&mut self, at: Timestamp, host: Host, happening: Happening) {
+    fn schedule(&mut self, at: Timestamp, host: Host, event: Event) {
         self.last_event += 1;
-        self.happenings.insert(self.last_event, (host, happening));
+        self.events.insert(self.last_event, (host, event));
         self.queue.push(Reverse((at, self.last_event)));
     }
 }
 
-/// Publishes, approves and rolls out.
+/// Publishes, approves and rolls out a bundle.
 pub fn roll_out(cluster: &mut Cluster, bundle: thornbridge_config::bundle::Bundle) {
     let version = bundle.version.clone();
-    cluster.operate(OperatorCommand::Publish { bundle });
-    cluster.operate(OperatorCommand::Approve {
+    cluster.run_command(OperatorCommand::Publish { bundle });
+    cluster.run_command(OperatorCommand::Approve {
         version: version.clone(),
         key_id: sample::KEY_ID.to_owned(),
         key: sample::signing_key(),
     });
-    cluster.operate(OperatorCommand::RolloutStart(sample::rollout(version)));
+    cluster.run_command(OperatorCommand::RolloutStart(sample::rollout(version)));
 }
--- a/crates/thornbridge-core/tests/control/exploration.rs
+++ b/crates/thornbridge-core/tests/control/exploration.rs
@@ -1,16 +1,17 @@
-//! Exhaustive exploration, breadth first, of two small models to a stated depth: two nodes and one
-//! lease, from where the first holds it and the second has seen that; two operators and one
-//! register, from where both have checked the approval and are about to read the register. Every order of steps and faults is tried; states met
-//! before are not tried again.
+//! Exhaustive breadth-first exploration of two models to a fixed depth.
+//!
+//! Two nodes compete for one lease that the first holds; two operators compete for the register
+//! after both have checked the approval. Every order of steps and faults is explored, each state
+//! once.
 
 use crate::lease_model::{Fault, LeaseModel};
-use crate::operators::{self, Race, Wanted};
+use crate::operators::{self, Command, SessionHarness};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use thornbridge_core::lease::LeaseParameters;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A read that fails is only asked again, and is not explored.
+/// Faults of reads are not explored, since a failed read is only retried.
 const READ_FAULTS: [Fault; 1] = [Fault::None];
 
 const WRITE_FAULTS: [Fault; 4] = [
@@ -22,11 +23,11 @@
 
 const OPERATOR_FAULTS: [operators::Fault; 3] = [
     operators::Fault::None,
-    operators::Fault::AnswerLost,
+    operators::Fault::ReplyLost,
     operators::Fault::Delayed,
 ];
 
-/// All states reached within a depth, the first one included.
+/// Returns the number of states within a depth, including the first.
 fn explore<State>(
     first: State,
     depth: usize,
@@ -49,14 +50,14 @@
     seen.len()
 }
 
-fn depth(in_ci: usize, long: usize) -> usize {
+fn depth(default: usize, long: usize) -> usize {
     match std::env::var_os("THORNBRIDGE_LONG") {
         Some(_) => long,
-        None => in_ci,
+        None => default,
     }
 }
 
-/// One unit of time is a second; a duration is three.
+/// Lease parameters in whole seconds, for a small state space.
 fn coarse_lease() -> LeaseParameters {
     LeaseParameters {
         duration: Duration::from_secs(3),
@@ -67,50 +68,50 @@
     }
 }
 
-fn lease_successors(world: &LeaseModel) -> Vec<LeaseModel> {
+fn lease_successors(model: &LeaseModel) -> Vec<LeaseModel> {
     let mut successors = Vec::new();
     let mut push = |change: &dyn Fn(&mut LeaseModel)| {
-        let mut successor = world.clone();
+        let mut successor = model.clone();
         change(&mut successor);
         successor.check_invariants();
         successors.push(successor);
     };
-    for index in 0..world.candidates.len() {
-        let faults: &[Fault] = if world.next_request_is_write(index) {
+    for index in 0..model.candidates.len() {
+        let faults: &[Fault] = if model.next_request_is_write(index) {
             &WRITE_FAULTS
         } else {
             &READ_FAULTS
         };
         for fault in faults {
-            push(&|world| world.step(index, *fault));
+            push(&|model| model.step(index, *fault));
         }
-        push(&|world| world.check_now(index));
-        if world.candidates[index].lease.is_held_or_pending() {
-            push(&|world| world.jump_clock(index, Duration::ZERO, true));
-            push(&|world| {
-                let clock = world.clock(index);
-                world.candidates[index].lease.set_wanted(clock, false);
+        push(&|model| model.check_now(index));
+        if model.candidates[index].lease.is_held_or_pending() {
+            push(&|model| model.jump_clock(index, Duration::ZERO, true));
+            push(&|model| {
+                let clock = model.clock(index);
+                model.candidates[index].lease.set_wanted(clock, false);
             });
         }
     }
-    push(&|world| world.now += Duration::from_secs(1));
-    for delayed in 0..world.delayed.len() {
-        push(&|world| world.deliver_delayed(delayed));
+    push(&|model| model.now += Duration::from_secs(1));
+    for delayed in 0..model.delayed.len() {
+        push(&|model| model.deliver_delayed(delayed));
     }
     successors
 }
 
-fn lease_key(world: &LeaseModel) -> String {
-    let last = world.last_write.as_ref();
-    let delayed = &world.delayed;
+fn lease_key(model: &LeaseModel) -> String {
+    let last = model.last_write.as_ref();
+    let delayed = &model.delayed;
     format!(
         "{:?} {:?} {last:?} {delayed:?}",
-        world.now, world.candidates
+        model.now, model.candidates
     )
 }
 
 #[test]
-fn every_order_of_steps_of_two_nodes_and_one_lease() {
+fn lease_invariants_hold_for_every_order_of_two_nodes() {
     let mut first = LeaseModel::new(coarse_lease(), &[Duration::ZERO, Duration::from_secs(50)]);
     for index in [0, 0, 1] {
         first.step(index, Fault::None);
@@ -121,42 +122,47 @@
     assert!(states > 10_000, "{states} states");
 }
 
-fn race_successors(race: &Race) -> Vec<Race> {
+fn rollout_successors(harness: &SessionHarness) -> Vec<SessionHarness> {
     let mut successors = Vec::new();
-    let mut push = |change: &dyn Fn(&mut Race)| {
-        let mut successor = race.clone();
+    let mut push = |change: &dyn Fn(&mut SessionHarness)| {
+        let mut successor = harness.clone();
         change(&mut successor);
-        successor.check();
+        successor.check_invariants();
         successors.push(successor);
     };
-    for session in race.running() {
+    for session in harness.running_sessions() {
         for fault in OPERATOR_FAULTS {
-            push(&|race| race.step(session, fault));
+            push(&|harness| harness.step(session, fault));
         }
-        push(&|race| race.crash(session));
+        push(&|harness| harness.crash(session));
     }
-    if race.has_delayed() {
-        push(&|race| race.arrive(0));
+    if harness.has_delayed() {
+        push(&|harness| harness.deliver_delayed(0));
     }
     successors
 }
 
 #[test]
-fn every_order_of_steps_of_an_operator_and_automation_rolling_out() {
-    let mut race = Race::new();
+fn rollout_invariants_hold_for_every_order_of_two_operators() {
+    let mut harness = SessionHarness::new();
     for (version, automation) in [(0, false), (1, true)] {
-        race.begin_wanted(&Wanted::Start {
+        harness.begin_command(&Command::Start {
             version,
             automation,
         });
     }
-    for session in race.running() {
+    for session in harness.running_sessions() {
         for _ in 0..3 {
-            race.step(session, operators::Fault::None);
+            harness.step(session, operators::Fault::None);
         }
     }
     let depth = depth(9, 11);
-    let states = explore(race, depth, race_successors, Race::key);
+    let states = explore(
+        harness,
+        depth,
+        rollout_successors,
+        SessionHarness::state_key,
+    );
     println!("rollout: {states} states to depth {depth}");
     assert!(states > 1_000, "{states} states");
 }
--- a/crates/thornbridge-core/tests/control/forgeries.rs
+++ b/crates/thornbridge-core/tests/control/forgeries.rs
@@ -1,4 +1,4 @@
-//! Messages that no honest peer sends: refused, counted, and without effect.
+//! Forged configuration messages: rejected and counted, without any other effect.
 
 use crate::sample;
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 
 struct Receiver {
     register: ConfigurationRegister,
-    refusals_told: usize,
+    rejections_reported: usize,
 }
 
 fn record(generation: u64, bundle: &Bundle, key: &SigningKey) -> GenerationRecord {
@@ -40,19 +40,19 @@
 }
 
 impl Receiver {
-    /// A register in which generation 5 is in force.
+    /// A register in which generation 5 is active.
     fn new() -> Self {
         let register = ConfigurationRegister::new(Default::default(), sample::trusted_keys());
         let mut receiver = Self {
             register,
-            refusals_told: 0,
+            rejections_reported: 0,
         };
-        receiver.take(whole(5, &sample::bundle("v5", &["search"])));
+        receiver.receive(whole(5, &sample::bundle("v5", &["search"])));
         assert_eq!(receiver.generation(), 5);
         receiver
     }
 
-    fn take(&mut self, message: ConfigurationMessage) {
+    fn receive(&mut self, message: ConfigurationMessage) {
         let mut random = Pcg64Mcg::seed_from_u64(1);
         let (mut actions, mut signals) = (VecDeque::new(), VecDeque::new());
         let now = Timestamp::ZERO;
@@ -62,75 +62,75 @@
             address: ([10, 0, 0, 9], 7400).into(),
         };
         self.register.peer_message(&mut context, from, message);
-        let told = |action: &&Action| {
+        let is_rejection = |action: &&Action| {
             matches!(
                 action,
                 Action::StateChanged(StateChange::ConfigurationRejected { .. })
             )
         };
-        self.refusals_told += actions.iter().filter(told).count();
+        self.rejections_reported += actions.iter().filter(is_rejection).count();
     }
 
     fn generation(&self) -> u64 {
         self.register.active().unwrap().record.generation.0
     }
 
-    fn refused(&self) -> u64 {
+    fn rejected(&self) -> u64 {
         self.register.counters().refused
     }
 }
 
 #[test]
-fn a_signature_by_an_unknown_key_is_refused() {
+fn signature_of_untrusted_key_is_rejected() {
     let mut receiver = Receiver::new();
     let bundle = sample::bundle("v6", &["search"]);
-    receiver.take(ConfigurationMessage::Whole {
+    receiver.receive(ConfigurationMessage::Whole {
         record: record(6, &bundle, &SigningKey::from_bytes(&[8; 32])),
         sections: SectionSet::of(&bundle).unwrap().to_wire(),
     });
-    assert_eq!((receiver.generation(), receiver.refused()), (5, 1));
+    assert_eq!((receiver.generation(), receiver.rejected()), (5, 1));
 }
 
 #[test]
-fn content_other_than_the_approved_is_refused() {
+fn content_with_unapproved_digest_is_rejected() {
     let mut receiver = Receiver::new();
     let approved = sample::bundle("v6", &["search"]);
     let other = sample::bundle("v6", &["search", "cards"]);
-    receiver.take(ConfigurationMessage::Whole {
+    receiver.receive(ConfigurationMessage::Whole {
         record: record(6, &approved, &sample::signing_key()),
         sections: SectionSet::of(&other).unwrap().to_wire(),
     });
-    assert_eq!((receiver.generation(), receiver.refused()), (5, 1));
+    assert_eq!((receiver.generation(), receiver.rejected()), (5, 1));
 }
 
 #[test]
-fn a_delta_that_leads_elsewhere_is_refused_and_the_whole_bundle_asked_for() {
+fn delta_with_wrong_result_is_rejected_and_counted() {
     let mut receiver = Receiver::new();
     let approved = sample::bundle("v6", &["search", "cards"]);
-    receiver.take(ConfigurationMessage::Delta {
+    receiver.receive(ConfigurationMessage::Delta {
         record: record(6, &approved, &sample::signing_key()),
         base: receiver.register.active().unwrap().record.digest,
         changed: Vec::new(),
         removed: Vec::new(),
     });
-    assert_eq!((receiver.generation(), receiver.refused()), (5, 1));
+    assert_eq!((receiver.generation(), receiver.rejected()), (5, 1));
     assert_eq!(receiver.register.counters().deltas_failed, 1);
 }
 
 #[test]
-fn a_lower_generation_is_left_alone_though_it_is_validly_signed() {
+fn older_generation_is_ignored_though_validly_signed() {
     let mut receiver = Receiver::new();
-    receiver.take(whole(4, &sample::bundle("v4", &["search"])));
-    assert_eq!((receiver.generation(), receiver.refused()), (5, 0));
+    receiver.receive(whole(4, &sample::bundle("v4", &["search"])));
+    assert_eq!((receiver.generation(), receiver.rejected()), (5, 0));
     assert_eq!(receiver.register.counters().stale, 1);
 }
 
 #[test]
-fn two_records_of_one_generation_are_refused_counted_and_told_once() {
+fn conflicting_records_are_rejected_and_reported_once() {
     let mut receiver = Receiver::new();
     for _ in 0..2 {
-        receiver.take(whole(5, &sample::bundle("v6", &["search"])));
-        receiver.take(ConfigurationMessage::Announce {
+        receiver.receive(whole(5, &sample::bundle("v6", &["search"])));
+        receiver.receive(ConfigurationMessage::Announce {
             summary: Some(GenerationSummary {
                 generation: Generation(5),
                 fingerprint: 1,
@@ -138,17 +138,17 @@
             platform_age_ms: None,
         });
     }
-    assert_eq!((receiver.generation(), receiver.refused()), (5, 4));
+    assert_eq!((receiver.generation(), receiver.rejected()), (5, 4));
     assert_eq!(receiver.register.counters().conflicting, 4);
-    assert_eq!(receiver.refusals_told, 1);
+    assert_eq!(receiver.rejections_reported, 1);
 }
 
 #[test]
-fn a_signature_is_checked_once_for_each_generation() {
+fn signature_is_verified_once_per_generation() {
     let mut receiver = Receiver::new();
     let before = receiver.register.counters().signatures_checked;
     for _ in 0..10 {
-        receiver.take(whole(6, &sample::bundle("v6", &["search"])));
+        receiver.receive(whole(6, &sample::bundle("v6", &["search"])));
     }
     assert_eq!(receiver.generation(), 6);
     let after = receiver.register.counters().signatures_checked;
--- a/crates/thornbridge-core/tests/control/interleavings.rs
+++ b/crates/thornbridge-core/tests/control/interleavings.rs
@@ -1,5 +1,5 @@
-//! Random faults over a whole cluster: a generation never goes back on any node (checked at each
-//! acceptance by [`crate::cluster`]), and when the faults end all nodes come to have the last one.
+//! Random faults over a cluster: generations never go back on any node (checked at each activation
+//! by [`crate::cluster`]), and all nodes converge on the last generation after the faults.
 
 use crate::cluster::{Cluster, Conditions, Host, roll_out, seconds};
 use crate::sample;
@@ -15,12 +15,12 @@
     Pause(Host),
     ResumeAll,
     Leave(Host),
-    CutPlatform(Host),
+    DisconnectPlatform(Host),
     Split(bool),
     PlatformDown(bool),
     Compact,
     Loss(f64),
-    LostAnswers(f64),
+    ReplyLoss(f64),
     SilentWatches(bool),
     NewNode,
 }
@@ -33,23 +33,23 @@
         2 => host.clone().prop_map(Fault::Pause),
         2 => Just(Fault::ResumeAll),
         1 => host.clone().prop_map(Fault::Leave),
-        1 => host.prop_map(Fault::CutPlatform),
+        1 => host.prop_map(Fault::DisconnectPlatform),
         2 => any::<bool>().prop_map(Fault::Split),
         2 => any::<bool>().prop_map(Fault::PlatformDown),
         1 => Just(Fault::Compact),
         1 => (0.0..0.3).prop_map(Fault::Loss),
-        1 => (0.0..0.5).prop_map(Fault::LostAnswers),
+        1 => (0.0..0.5).prop_map(Fault::ReplyLoss),
         1 => any::<bool>().prop_map(Fault::SilentWatches),
         1 => Just(Fault::NewNode),
     ]
 }
 
-struct World {
+struct FaultHarness {
     cluster: Cluster,
     generation: u64,
 }
 
-impl World {
+impl FaultHarness {
     fn new(seed: u64) -> Self {
         let mut cluster = Cluster::new(seed, Conditions::default());
         roll_out(&mut cluster, sample::bundle("v1", &["search"]));
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Operators reach the store whenever it is up; half the bundles differ in their services too.
+    /// Rolls out the next version. The store is always reachable for operators; the services vary.
     fn roll_out(&mut self) {
         self.generation += 1;
         let version = format!("v{}", self.generation);
@@ -81,12 +81,12 @@
             Fault::Pause(host) => cluster.pause(host),
             Fault::ResumeAll => self.resume_all(),
             Fault::Leave(host) => cluster.leave(host),
-            Fault::CutPlatform(host) => cluster.processes[host].platform_cut = true,
+            Fault::DisconnectPlatform(host) => cluster.processes[host].platform_unreachable = true,
             Fault::Split(split) => cluster.conditions.regions_split = split,
             Fault::PlatformDown(down) => cluster.set_platform_down(down),
             Fault::Compact => cluster.compact(),
             Fault::Loss(loss) => cluster.conditions.loss = loss,
-            Fault::LostAnswers(share) => cluster.conditions.lost_answers = share,
+            Fault::ReplyLoss(share) => cluster.conditions.reply_loss = share,
             Fault::SilentWatches(silent) => cluster.conditions.watches_silent = silent,
             Fault::NewNode => {
                 let machine = cluster.processes.len();
@@ -107,7 +107,7 @@
         self.cluster.conditions = Conditions::default();
         self.resume_all();
         for process in &mut self.cluster.processes {
-            process.platform_cut = false;
+            process.platform_unreachable = false;
         }
     }
 }
@@ -127,23 +127,23 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_node_goes_back_and_all_converge_when_the_faults_end(
+    fn generations_never_regress_and_converge_after_faults(
         seed in any::<u64>(),
         faults in prop::collection::vec((fault(), 0.0..6.0), 1..25),
     ) {
-        let mut world = World::new(seed);
+        let mut harness = FaultHarness::new(seed);
         for (fault, pause) in &faults {
-            world.apply(fault);
-            world.cluster.run(seconds(*pause));
+            harness.apply(fault);
+            harness.cluster.run(seconds(*pause));
         }
-        world.heal();
-        // One node at least is left to read the platform.
-        let machine = world.cluster.processes.len();
-        world.cluster.start(machine, 0);
-        let generation = world.generation;
-        let took = world
+        harness.heal();
+        // At least one running node is needed to read the platform.
+        let machine = harness.cluster.processes.len();
+        harness.cluster.start(machine, 0);
+        let generation = harness.generation;
+        let took = harness
             .cluster
             .run_until(seconds(120.0), |cluster| cluster.all_have(generation));
-        prop_assert!(took.is_some(), "generation {} is not everywhere", generation);
+        prop_assert!(took.is_some(), "generation {} is not active on every node", generation);
     }
 }
--- a/crates/thornbridge-core/tests/control/main.rs
+++ b/crates/thornbridge-core/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Control under faults: operators' commands, leases and dissemination against simple oracles.
+//! Fault tests of the control plane: operator commands, leases and configuration dissemination.
 
 mod cluster;
 mod dissemination;
--- a/crates/thornbridge-core/tests/control/operators.rs
+++ b/crates/thornbridge-core/tests/control/operators.rs
@@ -1,4 +1,4 @@
-//! Operators and automation racing over a store that loses answers, delays writes and goes away.
+//! Concurrent operator sessions over a store that loses replies, delays writes and is unreachable.
 
 use crate::model_store::ModelStore;
 use crate::sample;
@@ -19,40 +19,40 @@
 
 const VERSIONS: [&str; 3] = ["v1", "v2", "v3"];
 
-/// How the store treats one request.
+/// Fault of one request.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     None,
     Unreachable,
-    /// The request is lost on its way.
+    /// The request is lost.
     RequestLost,
-    /// The answer is lost on its way back.
-    AnswerLost,
-    /// The caller hears nothing, and the request arrives later.
+    /// The request is executed, and its reply is lost.
+    ReplyLost,
+    /// The session gets no reply, and the request is executed later.
     Delayed,
 }
 
 #[derive(Clone, Debug)]
 pub enum Transition {
-    Begin(Wanted),
+    Begin(Command),
     Step { session: usize, fault: Fault },
     Crash { session: usize },
-    Arrive { delayed: usize },
+    Deliver { delayed: usize },
 }
 
 #[derive(Clone, Debug)]
-pub enum Wanted {
+pub enum Command {
     Start { version: usize, automation: bool },
     Rollback { automation: bool },
     Hold,
     Release,
 }
 
-/// The reference knows only how many sessions were begun; the oracle is the store's own log.
+/// Reference state: the number of sessions. The oracle is the log of writes of the store.
 #[derive(Clone, Debug, Default)]
-pub struct Begun(usize);
+pub struct SessionCount(usize);
 
-impl ReferenceStateMachine for Begun {
+impl ReferenceStateMachine for SessionCount {
     type State = Self;
     type Transition = Transition;
 
@@ -61,7 +61,7 @@
     }
 
     fn transitions(state: &Self) -> BoxedStrategy<Transition> {
-        let begin = wanted().prop_map(Transition::Begin);
+        let begin = command().prop_map(Transition::Begin);
         if state.0 == 0 {
             return begin.boxed();
         }
@@ -70,7 +70,7 @@
             2 => begin,
             40 => (sessions.saturating_sub(4)..sessions, fault()).prop_map(|(session, fault)| Transition::Step { session, fault }),
             1 => (0..sessions).prop_map(|session| Transition::Crash { session }),
-            1 => (0..4_usize).prop_map(|delayed| Transition::Arrive { delayed }),
+            1 => (0..4_usize).prop_map(|delayed| Transition::Deliver { delayed }),
         ]
         .boxed()
     }
@@ -78,7 +78,7 @@
     fn preconditions(state: &Self, transition: &Transition) -> bool {
         match transition {
             Transition::Step { session, .. } | Transition::Crash { session } => *session < state.0,
-            Transition::Begin(_) | Transition::Arrive { .. } => true,
+            Transition::Begin(_) | Transition::Deliver { .. } => true,
         }
     }
 
@@ -90,13 +90,13 @@
     }
 }
 
-fn wanted() -> impl Strategy<Value = Wanted> {
+fn command() -> impl Strategy<Value = Command> {
     prop_oneof![
         6 => (0..VERSIONS.len(), any::<bool>())
-            .prop_map(|(version, automation)| Wanted::Start { version, automation }),
-        2 => any::<bool>().prop_map(|automation| Wanted::Rollback { automation }),
-        1 => Just(Wanted::Hold),
-        1 => Just(Wanted::Release),
+            .prop_map(|(version, automation)| Command::Start { version, automation }),
+        2 => any::<bool>().prop_map(|automation| Command::Rollback { automation }),
+        1 => Just(Command::Hold),
+        1 => Just(Command::Release),
     ]
 }
 
@@ -105,57 +105,58 @@
         8 => Just(Fault::None),
         1 => Just(Fault::Unreachable),
         1 => Just(Fault::RequestLost),
-        2 => Just(Fault::AnswerLost),
+        2 => Just(Fault::ReplyLost),
         1 => Just(Fault::Delayed),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct RunningSession {
     session: OperatorSession,
     change: ChangeId,
-    asked: Option<PlatformRequest>,
+    request: Option<PlatformRequest>,
     in_doubt: Vec<PlatformRequest>,
-    ended: Option<Result<OperatorOutcome, OperatorErrorKind>>,
+    result: Option<Result<OperatorOutcome, OperatorErrorKind>>,
     crashed: bool,
 }
 
-impl Running {
-    /// A history entry is the same whoever writes it, and may be sent again. Nothing else may.
-    fn check_not_written_twice(&self, request: &PlatformRequest) {
+impl RunningSession {
+    /// Checks that no write with an unknown outcome is sent again, except of history entries, which
+    /// have the same content from every writer.
+    fn check_not_sent_again(&self, request: &PlatformRequest) {
         assert!(
             !self.in_doubt.contains(request),
-            "written twice: {request:?}"
+            "sent again with an unknown outcome: {request:?}"
         );
     }
 
-    fn note_doubt(&mut self, request: &PlatformRequest, fault: Fault) {
-        let lost = matches!(
+    fn record_in_doubt(&mut self, request: &PlatformRequest, fault: Fault) {
+        let no_reply = matches!(
             fault,
-            Fault::RequestLost | Fault::AnswerLost | Fault::Delayed
+            Fault::RequestLost | Fault::ReplyLost | Fault::Delayed
         );
-        let guarded = matches!(
+        let is_guarded = matches!(
             request,
             PlatformRequest::Put { kind, .. } if *kind != ObjectKind::History
         );
-        if lost && guarded {
+        if no_reply && is_guarded {
             self.in_doubt.push(request.clone());
         }
     }
 }
 
-/// Sessions over one store.
+/// Operator sessions over one store.
 #[derive(Clone)]
-pub struct Race {
+pub struct SessionHarness {
     store: ModelStore,
-    sessions: Vec<Running>,
+    sessions: Vec<RunningSession>,
     delayed: Vec<PlatformRequest>,
     trusted: Vec<TrustedKey>,
 }
 
-impl Race {
+impl SessionHarness {
     pub fn new() -> Self {
-        let mut race = Self {
+        let mut harness = Self {
             store: ModelStore::default(),
             sessions: Vec::new(),
             delayed: Vec::new(),
@@ -163,46 +164,46 @@
         };
         for version in VERSIONS {
             let bundle = sample::bundle(version, &["search"]);
-            race.complete(OperatorCommand::Publish { bundle });
-            race.complete(OperatorCommand::Approve {
+            harness.run_command(OperatorCommand::Publish { bundle });
+            harness.run_command(OperatorCommand::Approve {
                 version: version.into(),
                 key_id: sample::KEY_ID.to_owned(),
                 key: sample::signing_key(),
             });
         }
-        race
+        harness
     }
 
-    fn complete(&mut self, command: OperatorCommand) {
+    fn run_command(&mut self, command: OperatorCommand) {
         let session = self.begin(command);
-        while self.sessions[session].ended.is_none() {
+        while self.sessions[session].result.is_none() {
             self.step(session, Fault::None);
         }
-        assert!(matches!(self.sessions[session].ended, Some(Ok(_))));
+        assert!(matches!(self.sessions[session].result, Some(Ok(_))));
     }
 
     fn begin(&mut self, command: OperatorCommand) -> usize {
         let change = ChangeId::new(format!("change-{}", self.sessions.len()));
-        self.sessions.push(Running {
+        self.sessions.push(RunningSession {
             session: OperatorSession::new(command, change.clone()),
             change,
-            asked: None,
+            request: None,
             in_doubt: Vec::new(),
-            ended: None,
+            result: None,
             crashed: false,
         });
         self.sessions.len() - 1
     }
 
-    pub fn begin_wanted(&mut self, wanted: &Wanted) {
+    pub fn begin_command(&mut self, command: &Command) {
         let origin = |automation| RolloutOrigin {
             author: format!("author-{automation}"),
             automation,
             at_unix_ms: None,
         };
         let trusted_keys = self.trusted.clone();
-        match *wanted {
-            Wanted::Start {
+        match *command {
+            Command::Start {
                 version,
                 automation,
             } => {
@@ -214,7 +215,7 @@
                 };
                 self.begin(OperatorCommand::RolloutStart(request));
             }
-            Wanted::Rollback { automation } => {
+            Command::Rollback { automation } => {
                 let command = OperatorCommand::RolloutRollback {
                     version: None,
                     origin: origin(automation),
@@ -222,14 +223,14 @@
                 };
                 self.begin(command);
             }
-            Wanted::Hold => {
+            Command::Hold => {
                 let hold = RolloutHold {
                     holder: "operator".to_owned(),
                     reason: "test".to_owned(),
                 };
                 self.begin(OperatorCommand::RolloutHold(hold));
             }
-            Wanted::Release => {
+            Command::Release => {
                 self.begin(OperatorCommand::RolloutRelease);
             }
         }
@@ -237,19 +238,19 @@
 
     pub fn step(&mut self, session: usize, fault: Fault) {
         let running = &mut self.sessions[session];
-        if running.ended.is_some() || running.crashed {
+        if running.result.is_some() || running.crashed {
             return;
         }
-        let asked = running.asked.take();
-        if let Some(request) = &asked {
-            running.check_not_written_twice(request);
-            running.note_doubt(request, fault);
+        let request = running.request.take();
+        if let Some(request) = &request {
+            running.check_not_sent_again(request);
+            running.record_in_doubt(request, fault);
         }
-        let last = asked.map(|request| match fault {
+        let last = request.map(|request| match fault {
             Fault::None => self.store.apply(&request),
             Fault::Unreachable => Err(PlatformFailure::Unreachable),
             Fault::RequestLost => Err(PlatformFailure::NoAnswer),
-            Fault::AnswerLost => {
+            Fault::ReplyLost => {
                 let _ = self.store.apply(&request);
                 Err(PlatformFailure::NoAnswer)
             }
@@ -259,15 +260,15 @@
             }
         });
         match running.session.step(last) {
-            OperatorStep::Request(request) => running.asked = Some(request),
+            OperatorStep::Request(request) => running.request = Some(request),
             OperatorStep::Wait(_) => {}
             OperatorStep::Done(result) => {
-                running.ended = Some(result.map_err(|error| error.kind()));
+                running.result = Some(result.map_err(|error| error.kind()));
             }
         }
     }
 
-    pub fn arrive(&mut self, delayed: usize) {
+    pub fn deliver_delayed(&mut self, delayed: usize) {
         if delayed < self.delayed.len() {
             let request = self.delayed.remove(delayed);
             let _ = self.store.apply(&request);
@@ -282,17 +283,17 @@
         !self.delayed.is_empty()
     }
 
-    /// Sessions that neither ended nor crashed.
-    pub fn running(&self) -> Vec<usize> {
-        let runs = |session: &usize| {
+    /// Indices of the sessions that neither ended nor crashed.
+    pub fn running_sessions(&self) -> Vec<usize> {
+        let is_running = |session: &usize| {
             let running = &self.sessions[*session];
-            running.ended.is_none() && !running.crashed
+            running.result.is_none() && !running.crashed
         };
-        (0..self.sessions.len()).filter(runs).collect()
+        (0..self.sessions.len()).filter(is_running).collect()
     }
 
-    /// Tells states apart: what is stored, what is on its way, and where each session is.
-    pub fn key(&self) -> String {
+    /// Text that identifies a state: store, delayed requests and sessions.
+    pub fn state_key(&self) -> String {
         let (store, delayed) = (&self.store, &self.delayed);
         format!("{store:?} {delayed:?} {:?}", self.sessions)
     }
@@ -305,7 +306,7 @@
             .collect()
     }
 
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         let registers = self.registers();
         let mut previous: Option<&Rollout> = None;
         let mut generations_by_change: BTreeMap<ChangeId, Vec<Generation>> = BTreeMap::new();
@@ -321,14 +322,17 @@
         }
         for running in &self.sessions {
             let none = Vec::new();
-            let made = generations_by_change.get(&running.change).unwrap_or(&none);
-            assert!(made.len() <= 1, "one change made {made:?}");
-            match &running.ended {
+            let generations = generations_by_change.get(&running.change).unwrap_or(&none);
+            assert!(generations.len() <= 1, "one change made {generations:?}");
+            match &running.result {
                 Some(Ok(OperatorOutcome::RolledOut { record, .. })) => {
-                    assert_eq!(made, &[record.generation]);
+                    assert_eq!(generations, &[record.generation]);
                 }
                 Some(Err(OperatorErrorKind::Unknown)) | None => {}
-                Some(_) => assert!(made.is_empty(), "said no change, made {made:?}"),
+                Some(_) => assert!(
+                    generations.is_empty(),
+                    "the command reported no change but made {generations:?}"
+                ),
             }
         }
     }
@@ -340,8 +344,8 @@
             Some(previous) => {
                 assert_eq!(record.generation.0, previous.current.generation.0 + 1);
                 assert_eq!(register.hold, previous.hold);
-                let held_out = previous.hold.is_some() && register.origin.automation;
-                assert!(!held_out, "automation passed a hold");
+                let violates_hold = previous.hold.is_some() && register.origin.automation;
+                assert!(!violates_hold, "automation rolled out despite a hold");
                 self.check_history(&previous.history());
             }
             None => assert_eq!(record.generation, Generation(1)),
@@ -371,51 +375,55 @@
         assert_eq!(&stored, expected);
     }
 
-    /// What is still on its way arrives; what still runs is run to its end without faults.
+    /// Delivers the delayed requests, then runs all sessions to their end without faults.
     fn finish(&mut self) {
         while !self.delayed.is_empty() {
-            self.arrive(0);
+            self.deliver_delayed(0);
         }
         for session in 0..self.sessions.len() {
-            while self.sessions[session].ended.is_none() && !self.sessions[session].crashed {
+            while self.sessions[session].result.is_none() && !self.sessions[session].crashed {
                 self.step(session, Fault::None);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 }
 
-pub struct RaceTest;
+pub struct SessionTest;
 
-impl StateMachineTest for RaceTest {
-    type SystemUnderTest = Race;
-    type Reference = Begun;
+impl StateMachineTest for SessionTest {
+    type SystemUnderTest = SessionHarness;
+    type Reference = SessionCount;
 
-    fn init_test(_: &Begun) -> Race {
-        Race::new()
+    fn init_test(_: &SessionCount) -> SessionHarness {
+        SessionHarness::new()
     }
 
-    fn apply(mut race: Race, _: &Begun, transition: Transition) -> Race {
-        let preparation = 2 * VERSIONS.len();
+    fn apply(
+        mut harness: SessionHarness,
+        _: &SessionCount,
+        transition: Transition,
+    ) -> SessionHarness {
+        let setup_sessions = 2 * VERSIONS.len();
         match transition {
-            Transition::Begin(wanted) => race.begin_wanted(&wanted),
-            Transition::Step { session, fault } => race.step(preparation + session, fault),
-            Transition::Crash { session } => race.crash(preparation + session),
-            Transition::Arrive { delayed } => race.arrive(delayed),
+            Transition::Begin(command) => harness.begin_command(&command),
+            Transition::Step { session, fault } => harness.step(setup_sessions + session, fault),
+            Transition::Crash { session } => harness.crash(setup_sessions + session),
+            Transition::Deliver { delayed } => harness.deliver_delayed(delayed),
         }
-        race
+        harness
     }
 
-    fn check_invariants(race: &Race, _: &Begun) {
-        race.check();
+    fn check_invariants(harness: &SessionHarness, _: &SessionCount) {
+        harness.check_invariants();
     }
 
-    fn teardown(mut race: Race) {
-        race.finish();
+    fn teardown(mut harness: SessionHarness) {
+        harness.finish();
     }
 }
 
-/// A fixed seed, so that the verdict is the same on every run; many more cases on demand.
+/// Fixed seed for reproducible runs; `THORNBRIDGE_LONG` runs more cases.
 fn config(cases: u32) -> Config {
     let long = std::env::var_os("THORNBRIDGE_LONG").is_some();
     Config {
@@ -430,26 +438,29 @@
     #![proptest_config(config(128))]
 
     #[test]
-    fn rollouts_rise_by_one_approved_version_and_each_has_one_author(sequential 1..200 => RaceTest);
+    fn each_change_makes_at_most_one_approved_generation(sequential 1..200 => SessionTest);
 }
 
 fn start(version: &str) -> OperatorCommand {
     OperatorCommand::RolloutStart(sample::rollout(version.into()))
 }
 
-fn run_to_end(race: &mut Race, session: usize) -> Result<OperatorOutcome, OperatorErrorKind> {
-    while race.sessions[session].ended.is_none() {
-        race.step(session, Fault::None);
+fn run_to_end(
+    harness: &mut SessionHarness,
+    session: usize,
+) -> Result<OperatorOutcome, OperatorErrorKind> {
+    while harness.sessions[session].result.is_none() {
+        harness.step(session, Fault::None);
     }
-    race.sessions[session].ended.clone().unwrap()
+    harness.sessions[session].result.clone().unwrap()
 }
 
-fn step_until_write(race: &mut Race, session: usize) {
-    let asks_write = |running: &Running| {
-        let asked = running.asked.as_ref();
-        asked.is_some_and(|asked| {
+fn step_until_write(harness: &mut SessionHarness, session: usize) {
+    let sends_write = |running: &RunningSession| {
+        let request = running.request.as_ref();
+        request.is_some_and(|request| {
             matches!(
-                asked,
+                request,
                 PlatformRequest::Put {
                     kind: ObjectKind::Rollout,
                     ..
@@ -457,34 +468,34 @@
             )
         })
     };
-    while !asks_write(&race.sessions[session]) {
-        race.step(session, Fault::None);
+    while !sends_write(&harness.sessions[session]) {
+        harness.step(session, Fault::None);
     }
 }
 
 #[test]
-fn of_two_operators_that_read_the_same_register_one_wins_and_the_other_is_refused() {
-    let mut race = Race::new();
-    let first = race.begin(start("v1"));
-    let second = race.begin(start("v2"));
-    step_until_write(&mut race, first);
-    step_until_write(&mut race, second);
-    let second_result = run_to_end(&mut race, second);
-    let first_result = run_to_end(&mut race, first);
+fn second_swap_of_same_register_version_is_refused() {
+    let mut harness = SessionHarness::new();
+    let first = harness.begin(start("v1"));
+    let second = harness.begin(start("v2"));
+    step_until_write(&mut harness, first);
+    step_until_write(&mut harness, second);
+    let second_result = run_to_end(&mut harness, second);
+    let first_result = run_to_end(&mut harness, first);
     assert!(second_result.is_ok());
     assert_eq!(first_result, Err(OperatorErrorKind::Refused));
 }
 
 #[test]
-fn a_lost_answer_is_resolved_by_reading_back_though_another_generation_followed() {
-    let mut race = Race::new();
-    let first = race.begin(start("v1"));
-    step_until_write(&mut race, first);
-    race.step(first, Fault::AnswerLost);
-    let second = race.begin(start("v2"));
-    assert!(run_to_end(&mut race, second).is_ok());
-    assert!(run_to_end(&mut race, first).is_ok());
-    let generations: Vec<u64> = race
+fn lost_reply_is_resolved_despite_later_generation() {
+    let mut harness = SessionHarness::new();
+    let first = harness.begin(start("v1"));
+    step_until_write(&mut harness, first);
+    harness.step(first, Fault::ReplyLost);
+    let second = harness.begin(start("v2"));
+    assert!(run_to_end(&mut harness, second).is_ok());
+    assert!(run_to_end(&mut harness, first).is_ok());
+    let generations: Vec<u64> = harness
         .registers()
         .iter()
         .map(|register| register.current.generation.0)
@@ -493,84 +504,84 @@
 }
 
 #[test]
-fn a_write_that_may_yet_arrive_ends_as_unknown_and_is_not_repeated() {
-    let mut race = Race::new();
-    let session = race.begin(start("v1"));
-    step_until_write(&mut race, session);
-    race.step(session, Fault::Delayed);
+fn delayed_write_ends_as_unknown_and_is_not_retried() {
+    let mut harness = SessionHarness::new();
+    let session = harness.begin(start("v1"));
+    step_until_write(&mut harness, session);
+    harness.step(session, Fault::Delayed);
     assert_eq!(
-        run_to_end(&mut race, session),
+        run_to_end(&mut harness, session),
         Err(OperatorErrorKind::Unknown)
     );
-    assert!(race.registers().is_empty());
-    race.finish();
-    assert_eq!(race.registers().len(), 1);
+    assert!(harness.registers().is_empty());
+    harness.finish();
+    assert_eq!(harness.registers().len(), 1);
 }
 
 #[test]
-fn published_content_never_changes_and_the_same_content_may_be_published_again() {
-    let mut race = Race::new();
+fn republishing_succeeds_only_with_identical_content() {
+    let mut harness = SessionHarness::new();
     let same = OperatorCommand::Publish {
         bundle: sample::bundle("v1", &["search"]),
     };
     let other = OperatorCommand::Publish {
         bundle: sample::bundle("v1", &["search", "cards"]),
     };
-    let same = race.begin(same);
-    let other = race.begin(other);
-    assert!(run_to_end(&mut race, same).is_ok());
+    let same = harness.begin(same);
+    let other = harness.begin(other);
+    assert!(run_to_end(&mut harness, same).is_ok());
     assert_eq!(
-        run_to_end(&mut race, other),
+        run_to_end(&mut harness, other),
         Err(OperatorErrorKind::Refused)
     );
 }
 
 #[test]
-fn an_untrusted_approval_is_not_rolled_out() {
-    let mut race = Race::new();
-    race.trusted = vec![TrustedKey::of(
+fn untrusted_approval_is_refused() {
+    let mut harness = SessionHarness::new();
+    harness.trusted = vec![TrustedKey::of(
         sample::KEY_ID,
         &SigningKey::from_bytes(&[8; 32]),
     )];
-    race.begin_wanted(&Wanted::Start {
+    harness.begin_command(&Command::Start {
         version: 0,
         automation: false,
     });
-    let session = race.sessions.len() - 1;
+    let session = harness.sessions.len() - 1;
     assert_eq!(
-        run_to_end(&mut race, session),
+        run_to_end(&mut harness, session),
         Err(OperatorErrorKind::Refused)
     );
-    assert!(race.registers().is_empty());
+    assert!(harness.registers().is_empty());
 }
 
 #[test]
-fn a_version_signed_anew_by_another_key_comes_into_force_as_a_new_generation() {
-    let mut race = Race::new();
-    let first = race.begin(start("v1"));
-    assert!(run_to_end(&mut race, first).is_ok());
-    let again = race.begin(start("v1"));
+fn version_approved_with_new_key_becomes_new_generation() {
+    let mut harness = SessionHarness::new();
+    let first = harness.begin(start("v1"));
+    assert!(run_to_end(&mut harness, first).is_ok());
+    let again = harness.begin(start("v1"));
     assert_eq!(
-        run_to_end(&mut race, again),
+        run_to_end(&mut harness, again),
         Err(OperatorErrorKind::Refused),
-        "exactly this is in force already"
+        "the same approval is already active"
     );
     let new_key = SigningKey::from_bytes(&[9; 32]);
-    race.trusted.push(TrustedKey::of("ops-new", &new_key));
-    let approve = race.begin(OperatorCommand::Approve {
+    harness.trusted.push(TrustedKey::of("ops-new", &new_key));
+    let approve = harness.begin(OperatorCommand::Approve {
         version: "v1".into(),
         key_id: "ops-new".to_owned(),
         key: new_key,
     });
-    assert!(run_to_end(&mut race, approve).is_ok());
+    assert!(run_to_end(&mut harness, approve).is_ok());
     let mut request = sample::rollout("v1".into());
-    request.trusted_keys = race.trusted.clone();
-    let renewed = race.begin(OperatorCommand::RolloutStart(request));
-    assert!(run_to_end(&mut race, renewed).is_ok());
-    let last = race.registers().pop().unwrap().current;
+    request.trusted_keys = harness.trusted.clone();
+    let renewed = harness.begin(OperatorCommand::RolloutStart(request));
+    assert!(run_to_end(&mut harness, renewed).is_ok());
+    let last = harness.registers().pop().unwrap().current;
     assert_eq!(
         (last.generation, last.key_id.as_str()),
         (Generation(2), "ops-new")
     );
-    race.check();
+    harness.check_invariants();
 }
--- a/crates/thornbridge-core/tests/control/sample.rs
+++ b/crates/thornbridge-core/tests/control/sample.rs
@@ -1,4 +1,4 @@
-//! Small bundles and keys.
+//! Sample bundles, keys and rollout requests.
 
 use std::time::Duration;
 use thornbridge_config::approval::{SigningKey, TrustedKey};
@@ -20,7 +20,7 @@
     vec![TrustedKey::of(KEY_ID, &signing_key())]
 }
 
-/// A bundle with one service of one back end for each name.
+/// A bundle with the named services, each with one back end.
 pub fn bundle(version: &str, services: &[&str]) -> Bundle {
     Bundle {
         format: BUNDLE_FORMAT,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A rollout by an operator.
+/// A rollout request of an operator, without an expected generation.
 pub fn rollout(version: BundleVersion) -> RolloutRequest {
     RolloutRequest {
         version,
--- a/crates/thornbridge-core/tests/control/scale.rs
+++ b/crates/thornbridge-core/tests/control/scale.rs
@@ -1,8 +1,7 @@
-//! Cost and speed of dissemination against the size of the cluster, in virtual time: 4.8 servers a
-//! node, a change each 97 s (890 a day), 1% loss; with each second change a node crashes as the change is
-//! made, and is replaced later (445 a day).
+//! Cost and latency of dissemination by cluster size, in virtual time, with message loss. Every
+//! second change coincides with the crash of a node, which is replaced later.
 //!
-//! A small size runs always; `THORNBRIDGE_LONG` adds the sizes of docs/CAPACITY.md.
+//! `THORNBRIDGE_LONG` adds the larger sizes of docs/CAPACITY.md.
 
 use crate::cluster::{Cluster, Conditions, roll_out, seconds};
 use crate::sample;
@@ -15,7 +14,7 @@
 const CHANGE_INTERVAL: Duration = Duration::from_secs(97);
 const CHANGES: usize = 6;
 
-/// Services over as many servers as the nodes are for, three or four replicas a shard.
+/// A bundle that divides the servers among the services and their shards.
 fn bundle(servers: usize) -> Bundle {
     let names: Vec<String> = (0..SERVICES)
         .map(|index| format!("service-{index}"))
@@ -43,7 +42,7 @@
     bundle
 }
 
-/// Alternately a new snapshot, and a server replaced by another.
+/// Applies a change: a new snapshot for even counts, a replaced server for odd ones.
 fn change(bundle: &mut Bundle, count: usize) {
     bundle.version = format!("v{}", count + 2).into();
     let service = &mut bundle.services[count % SERVICES];
@@ -61,24 +60,24 @@
     }
 }
 
-/// Printed with [`std::fmt::Debug`].
+/// Results of a run, printed with [`std::fmt::Debug`].
 #[derive(Debug)]
-#[allow(dead_code, reason = "some figures are only printed")]
+#[allow(dead_code, reason = "some fields are only printed")]
 struct Cost {
     nodes: usize,
     bundle_bytes: usize,
-    longest: Duration,
+    max_activation_time: Duration,
     mean_bytes_per_second: f64,
-    most_bytes_per_second: f64,
+    max_bytes_per_second: f64,
     other_bytes_per_second: f64,
-    /// Most nodes that sent the platform a request within any ten seconds.
+    /// Largest number of nodes that sent platform requests within ten seconds.
     platform_users: usize,
     deltas: u64,
     wholes: u64,
     announcements: u64,
     signatures_per_node: f64,
-    /// Longest time since the platform was heard, over all nodes, while it answers.
-    stalest: Duration,
+    /// Largest platform age over all nodes, while the platform is available.
+    max_platform_age: Duration,
 }
 
 fn measure(nodes: usize, seed: u64) -> Cost {
@@ -93,11 +92,11 @@
     cluster.start_many(nodes, 2, seconds(2.0 / nodes as f64));
     cluster.run_until(seconds(60.0), |cluster| cluster.all_have(1));
     cluster.run(seconds(60.0));
-    let begun = cluster.now;
-    let sent: Vec<(u64, u64)> = bytes(&cluster);
-    let counted = counters(&cluster);
-    cluster.platform_uses.clear();
-    let mut longest = Duration::ZERO;
+    let start = cluster.now;
+    let sent_before: Vec<(u64, u64)> = bytes(&cluster);
+    let counters_before = counters(&cluster);
+    cluster.platform_requests.clear();
+    let mut max_activation_time = Duration::ZERO;
     for count in 0..CHANGES {
         change(&mut bundle, count);
         if count % 2 == 1 {
@@ -106,42 +105,45 @@
         roll_out(&mut cluster, bundle.clone());
         let generation = count as u64 + 2;
         let took = cluster.run_until(seconds(30.0), |cluster| cluster.all_have(generation));
-        longest = longest.max(took.expect("in force everywhere"));
+        max_activation_time =
+            max_activation_time.max(took.expect("the change is active on every node"));
         cluster.run(CHANGE_INTERVAL / 2);
         if count % 2 == 1 {
             cluster.start(nodes + count, count % 2);
         }
         cluster.run(CHANGE_INTERVAL / 2 - took.unwrap());
     }
-    let elapsed = cluster.now.since(begun).as_secs_f64();
-    let now_sent = bytes(&cluster);
-    let configuration: Vec<f64> = now_sent
+    let elapsed = cluster.now.since(start).as_secs_f64();
+    let sent_now = bytes(&cluster);
+    let configuration: Vec<f64> = sent_now
         .iter()
         .enumerate()
-        .map(|(host, now)| (now.0 - sent.get(host).map_or(0, |sent| sent.0)) as f64 / elapsed)
+        .map(|(host, now)| {
+            (now.0 - sent_before.get(host).map_or(0, |sent| sent.0)) as f64 / elapsed
+        })
         .collect();
-    let other: u64 = now_sent.iter().map(|sent| sent.1).sum();
-    let other_before: u64 = sent.iter().map(|sent| sent.1).sum();
-    let counted_now = counters(&cluster);
-    let stalest = cluster.running().into_iter().map(|host| {
+    let other: u64 = sent_now.iter().map(|sent| sent.1).sum();
+    let other_before: u64 = sent_before.iter().map(|sent| sent.1).sum();
+    let counters_now = counters(&cluster);
+    let platform_ages = cluster.running().into_iter().map(|host| {
         let configuration = &cluster.processes[host].control.configuration;
         configuration
             .platform_age(cluster.now)
             .unwrap_or(Duration::MAX)
     });
     Cost {
-        stalest: stalest.max().unwrap_or_default(),
+        max_platform_age: platform_ages.max().unwrap_or_default(),
         nodes,
         bundle_bytes,
-        longest,
+        max_activation_time,
         mean_bytes_per_second: configuration.iter().sum::<f64>() / nodes as f64,
-        most_bytes_per_second: configuration.iter().copied().fold(0.0, f64::max),
+        max_bytes_per_second: configuration.iter().copied().fold(0.0, f64::max),
         other_bytes_per_second: (other - other_before) as f64 / elapsed / nodes as f64,
-        platform_users: cluster.most_platform_users(),
-        deltas: counted_now[0] - counted[0],
-        wholes: counted_now[1] - counted[1],
-        announcements: counted_now[2] - counted[2],
-        signatures_per_node: (counted_now[3] - counted[3]) as f64 / nodes as f64,
+        platform_users: cluster.max_platform_users(),
+        deltas: counters_now[0] - counters_before[0],
+        wholes: counters_now[1] - counters_before[1],
+        announcements: counters_now[2] - counters_before[2],
+        signatures_per_node: (counters_now[3] - counters_before[3]) as f64 / nodes as f64,
     }
 }
 
@@ -165,7 +167,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_within_four_seconds_at_a_bounded_cost() {
+fn change_activates_within_four_seconds_at_bounded_cost() {
     let sizes: &[usize] = match std::env::var_os("THORNBRIDGE_LONG") {
         Some(_) => &[40, 160, 690],
         None => &[40],
@@ -173,7 +175,7 @@
     for nodes in sizes {
         let cost = measure(*nodes, 11);
         println!("{cost:?}");
-        assert!(cost.longest <= seconds(4.0));
+        assert!(cost.max_activation_time <= seconds(4.0));
         assert!(cost.mean_bytes_per_second <= 1_500.0);
         assert!(cost.platform_users <= 8);
     }
