--- a/crates/thornbridge-node/src/gateway/connection.rs
+++ b/crates/thornbridge-node/src/gateway/connection.rs
@@ -84,7 +84,7 @@
 enum JobsEnd {
     /// Lost or closed without an attempt in flight.
     Lost,
-    /// An attempt failed, and an event reported its failure.
+    /// An attempt failed and its failure was reported, or the driver has ended.
     AttemptFailed,
 }
 
