--- a/crates/thornbridge-core/src/action/answering.rs
+++ b/crates/thornbridge-core/src/action/answering.rs
@@ -35,10 +35,10 @@
             }
             _ => {
                 action.waiters.push(waiter);
-                let sooner = action
+                let is_earlier = action
                     .next_check
                     .is_none_or(|next_check| next_check > waiter.deadline);
-                if sooner {
+                if is_earlier {
                     self.schedule_check(key, waiter.deadline);
                 }
             }
@@ -63,10 +63,10 @@
         let service = action.plan.service.clone();
         let waiters = std::mem::take(&mut action.waiters);
         let first = action.request;
-        let at = context.now;
+        let ended_at = context.now;
         action.phase = Phase::Ended {
             end: end.clone(),
-            at,
+            ended_at,
         };
         self.open_actions -= 1;
         self.keys_by_request.remove(&first);
@@ -75,8 +75,8 @@
             self.answer(context, &service, waiter, &end, replayed);
         }
         self.replicate_end(context, claim, end);
-        let forget = context.now + self.parameters.owner_retention;
-        self.schedule_check(key, forget);
+        let remove_at = context.now + self.parameters.owner_retention;
+        self.schedule_check(key, remove_at);
     }
 
     fn replicate_end(
@@ -85,8 +85,8 @@
         claim: thornbridge_proto::peer::action::Claim,
         end: ActionEnd,
     ) {
-        let longest = self.parameters.maximum_outcome_bytes;
-        let too_long = matches!(&end, ActionEnd::Done { outcome, .. } if outcome.len() > longest);
+        let max_bytes = self.parameters.maximum_outcome_bytes;
+        let too_long = matches!(&end, ActionEnd::Done { outcome, .. } if outcome.len() > max_bytes);
         if too_long {
             return;
         }
@@ -214,10 +214,10 @@
         let runs = matches!(action.phase, Phase::Running { .. });
         // The limits refuse queued actions themselves.
         let ends_now = action.deadline <= now;
-        let overdue = |waiter: &Waiter| waiter.deadline <= now && (runs || !ends_now);
+        let expired = |waiter: &Waiter| waiter.deadline <= now && (runs || !ends_now);
         let service = action.plan.service.clone();
-        let refused: Vec<Waiter> = action.waiters.iter().copied().filter(overdue).collect();
-        action.waiters.retain(|waiter| !overdue(waiter));
+        let refused: Vec<Waiter> = action.waiters.iter().copied().filter(expired).collect();
+        action.waiters.retain(|waiter| !expired(waiter));
         for waiter in refused {
             let refusal = Refusal {
                 request_id: waiter.request,
@@ -234,14 +234,14 @@
         let Some(action) = self.owned.get(&key) else {
             return;
         };
-        if let Phase::Ended { at, .. } = action.phase {
-            let forget = at + self.parameters.owner_retention;
-            if forget <= now {
+        if let Phase::Ended { ended_at, .. } = action.phase {
+            let remove_at = ended_at + self.parameters.owner_retention;
+            if remove_at <= now {
                 // A later owner query must not be answered with `NeverRun`.
                 self.highest_removed_claim = self.highest_removed_claim.max(action.claim.sequence);
                 self.remove(key);
             } else {
-                self.schedule_check(key, forget);
+                self.schedule_check(key, remove_at);
             }
         }
     }
@@ -277,7 +277,7 @@
                 self.keys_by_caller.remove(&waiter.caller);
                 context.act(Action::Observe(Observation::RequestFinished {
                     service: service.clone(),
-                    latency: context.now.since(waiter.arrived),
+                    latency: context.now.since(waiter.arrived_at),
                     coverage: None,
                     refused: None,
                 }));
@@ -311,7 +311,7 @@
         self.keys_by_caller.remove(&caller);
         context.act(Action::Observe(Observation::RequestFinished {
             service: service.clone(),
-            latency: context.now.since(waiter.arrived),
+            latency: context.now.since(waiter.arrived_at),
             coverage: None,
             refused: Some(refusal.reason),
         }));
--- a/crates/thornbridge-core/src/action/claim_table.rs
+++ b/crates/thornbridge-core/src/action/claim_table.rs
@@ -18,7 +18,7 @@
     /// granted to nobody until only one claim is left.
     rivals: Vec<Claim>,
     end: Option<ActionEnd>,
-    granted: Timestamp,
+    granted_at: Timestamp,
 }
 
 /// Claims by key, bounded. When full, evicts ended claims older than the minimum retention, and
@@ -90,7 +90,7 @@
     }
 
     /// Records the end of a claim. Only a claim that won can end, so it replaces any other claim.
-    pub(super) fn ended(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
+    pub(super) fn record_end(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
         match self.entries.get_mut(&claim.key) {
             Some(entry) => entry.set_end(claim, end),
             None => self.insert(now, claim, Some(end)),
@@ -99,41 +99,41 @@
 
     /// Merges a record from another member's table.
     pub(super) fn merge_record(&mut self, now: Timestamp, record: ClaimRecord) {
-        let granted = now - record.age;
+        let granted_at = now - record.age;
         let Some(entry) = self.entries.get_mut(&record.claim.key) else {
-            return self.insert(granted, record.claim, record.end);
+            return self.insert(granted_at, record.claim, record.end);
         };
-        entry.granted = entry.granted.max(granted);
+        entry.granted_at = entry.granted_at.max(granted_at);
         match record.end {
             Some(end) => entry.set_end(record.claim, end),
             None => entry.add_rival(record.claim),
         }
     }
 
-    fn insert(&mut self, granted: Timestamp, claim: Claim, end: Option<ActionEnd>) {
-        self.by_grant_time.push_back((granted, claim.key));
+    fn insert(&mut self, granted_at: Timestamp, claim: Claim, end: Option<ActionEnd>) {
+        self.by_grant_time.push_back((granted_at, claim.key));
         let entry = ClaimEntry {
             claim,
             rivals: Vec::new(),
             end,
-            granted,
+            granted_at,
         };
         self.entries.insert(entry.claim.key, entry);
     }
 
     fn remove_expired(&mut self, now: Timestamp) {
-        while let Some((granted, key)) = self.by_grant_time.front().copied() {
-            if granted + self.retention > now {
+        while let Some((granted_at, key)) = self.by_grant_time.front().copied() {
+            if granted_at + self.retention > now {
                 return;
             }
             self.by_grant_time.pop_front();
             let Some(entry) = self.entries.get(&key) else {
                 continue;
             };
-            if entry.granted + self.retention <= now {
+            if entry.granted_at + self.retention <= now {
                 self.entries.remove(&key);
             } else {
-                self.by_grant_time.push_back((entry.granted, key));
+                self.by_grant_time.push_back((entry.granted_at, key));
             }
         }
     }
@@ -142,16 +142,16 @@
     /// include none.
     fn evict_oldest_ended(&mut self, now: Timestamp) -> bool {
         for _ in 0..MAX_EVICTION_SCAN {
-            let Some((granted, key)) = self.by_grant_time.front().copied() else {
+            let Some((granted_at, key)) = self.by_grant_time.front().copied() else {
                 return false;
             };
-            if granted + self.least_retention > now {
+            if granted_at + self.least_retention > now {
                 return false;
             }
             self.by_grant_time.pop_front();
             match self.entries.get(&key) {
                 None => {}
-                Some(entry) if entry.end.is_some() && entry.granted <= granted => {
+                Some(entry) if entry.end.is_some() && entry.granted_at <= granted_at => {
                     self.entries.remove(&key);
                     return true;
                 }
@@ -214,7 +214,7 @@
     }
 
     fn records(&self, now: Timestamp) -> impl Iterator<Item = ClaimRecord> {
-        let age = now.since(self.granted);
+        let age = now.since(self.granted_at);
         let first = ClaimRecord {
             claim: self.claim.clone(),
             end: self.end.clone(),
--- a/crates/thornbridge-core/src/action/claiming.rs
+++ b/crates/thornbridge-core/src/action/claiming.rs
@@ -62,13 +62,13 @@
         let Some(view) = &self.view else {
             return members.to_vec();
         };
-        let takes_work = |member: &&PeerEndpoint| {
+        let accepts_work = |member: &&PeerEndpoint| {
             view.accepting_work()
                 .any(|known| known.endpoint.node == member.node)
         };
-        let fit: Vec<PeerEndpoint> = members.iter().filter(takes_work).copied().collect();
-        if fit.len() >= super::group::majority(members.len()) {
-            fit
+        let available: Vec<PeerEndpoint> = members.iter().filter(accepts_work).copied().collect();
+        if available.len() >= super::group::majority(members.len()) {
+            available
         } else {
             members.to_vec()
         }
@@ -258,10 +258,10 @@
             return;
         };
         let now = context.now;
-        let overdue = action.deadline <= now;
+        let expired = action.deadline <= now;
         match &action.phase {
             Phase::Queued => {}
-            Phase::Claiming(_) | Phase::Backoff { .. } if overdue => {
+            Phase::Claiming(_) | Phase::Backoff { .. } if expired => {
                 self.refuse_undecided(context, resources, key);
             }
             Phase::Claiming(votes) => {
@@ -277,7 +277,7 @@
                 let known = self.is_known_member(holder.owner);
                 let timeout = self.parameters.unknown_owner_patience;
                 let lost = !known && now.since(*since) >= timeout;
-                match overdue || lost {
+                match expired || lost {
                     true => self.finish_owner_lost(context, resources, key),
                     false => self.send_owner_query(context, key),
                 }
--- a/crates/thornbridge-core/src/action/decider.rs
+++ b/crates/thornbridge-core/src/action/decider.rs
@@ -84,8 +84,8 @@
         self.next_check
     }
 
-    /// Checks whether the group has to change. Returns the members that have not yet reported that
-    /// they grant claims.
+    /// Checks whether the group has to change, and queues a read of the stored group if so. Returns
+    /// the members that have not reported that they grant claims.
     pub(super) fn check(
         &mut self,
         now: Timestamp,
--- a/crates/thornbridge-core/src/action/group.rs
+++ b/crates/thornbridge-core/src/action/group.rs
@@ -56,10 +56,10 @@
 
 /// Whether a group needs a successor: a member is gone or leaving, or more members are available.
 pub(super) fn needs_change(view: &MemberView, group: &ClaimGroup, limit: usize) -> bool {
-    let takes_work = |member: &PeerEndpoint| {
+    let accepts_work = |member: &PeerEndpoint| {
         view.accepting_work()
             .any(|known| known.endpoint.node == member.node)
     };
-    let all_available = group.members.iter().all(takes_work);
+    let all_available = group.members.iter().all(accepts_work);
     !all_available || choose_members(view, &group.members, limit).len() > group.members.len()
 }
--- a/crates/thornbridge-core/src/action/group_member.rs
+++ b/crates/thornbridge-core/src/action/group_member.rs
@@ -157,9 +157,9 @@
     }
 
     /// Records the end of a claim.
-    pub(super) fn ended(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
+    pub(super) fn record_end(&mut self, now: Timestamp, claim: Claim, end: ActionEnd) {
         if self.last_deciding.is_some() || self.joining.is_some() {
-            self.table.ended(now, claim, end);
+            self.table.record_end(now, claim, end);
         }
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Merges a page from a member of the previous epoch.
-    pub(super) fn page(
+    pub(super) fn handle_page(
         &mut self,
         context: &mut Context<'_>,
         outbox: &mut Outbox,
--- a/crates/thornbridge-core/src/action/leaving.rs
+++ b/crates/thornbridge-core/src/action/leaving.rs
@@ -25,7 +25,7 @@
 
 impl ActionEngine {
     /// Begins a planned stop. A member of the group waits until it is replaced or the remaining
-    /// members suffice.
+    /// members are a majority.
     pub fn leave(&mut self, now: Timestamp) {
         let is_alone = self
             .view
@@ -51,14 +51,14 @@
         let notice_elapsed = leaving.notice_elapsed;
         let timed_out = leaving.times_out_at <= now;
         let handed_over = self.member.has_handed_over(self.outbox.own().node);
-        if handed_over || timed_out || (notice_elapsed && self.remaining_members_suffice()) {
+        if handed_over || timed_out || (notice_elapsed && self.remaining_members_are_majority()) {
             self.leaving = None;
         }
     }
 
     /// Whether the remaining members are a majority, so that one of them stores each claim that
     /// won.
-    fn remaining_members_suffice(&self) -> bool {
+    fn remaining_members_are_majority(&self) -> bool {
         let (Some(group), Some(view)) = (self.member.latest(), &self.view) else {
             return true;
         };
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -142,7 +142,7 @@
         let mut waiter = Waiter {
             caller,
             request: request_id,
-            arrived: context.now,
+            arrived_at: context.now,
             deadline: context.now,
         };
         let plan = match planned {
--- a/crates/thornbridge-core/src/action/owned_action.rs
+++ b/crates/thornbridge-core/src/action/owned_action.rs
@@ -14,7 +14,7 @@
 pub(super) struct Waiter {
     pub(super) caller: CallerId,
     pub(super) request: RequestId,
-    pub(super) arrived: Timestamp,
+    pub(super) arrived_at: Timestamp,
     pub(super) deadline: Timestamp,
 }
 
@@ -45,10 +45,10 @@
     Running {
         attempt: AttemptId,
         tried: Vec<BackEndId>,
-        started: Timestamp,
+        started_at: Timestamp,
     },
     /// Ended; retained for repeated requests and owner queries.
-    Ended { end: ActionEnd, at: Timestamp },
+    Ended { end: ActionEnd, ended_at: Timestamp },
 }
 
 /// An action at the node that received it.
--- a/crates/thornbridge-core/src/action/peer_messages.rs
+++ b/crates/thornbridge-core/src/action/peer_messages.rs
@@ -61,7 +61,7 @@
                 verdict,
             } => self.handle_verdict(context, resources, from, epoch, (key, claim), verdict),
             ActionMessage::Release { key, claim } => self.member.release(&key, claim),
-            ActionMessage::Ended { claim, end } => self.member.ended(context.now, claim, end),
+            ActionMessage::Ended { claim, end } => self.member.record_end(context.now, claim, end),
             ActionMessage::Ask { claim, key } => self.answer_owner_query(context, from, claim, key),
             ActionMessage::Told { claim, key, answer } => {
                 self.handle_owner_answer(context, resources, key, claim, answer);
@@ -80,7 +80,7 @@
             } => {
                 let page = (records, last);
                 self.member
-                    .page(context, &mut self.outbox, from, epoch, after, page);
+                    .handle_page(context, &mut self.outbox, from, epoch, after, page);
             }
             ActionMessage::AskGroup => self.exchange_groups(context, from, None),
             ActionMessage::Group { group } => self.handle_group(context, from, group),
@@ -100,7 +100,7 @@
         claim: ClaimId,
         key: Digest,
     ) {
-        let is_forgotten = claim.sequence <= self.highest_removed_claim;
+        let may_be_removed = claim.sequence <= self.highest_removed_claim;
         let answer = if claim.node != self.outbox.own().node {
             OwnerAnswer::Gone
         } else {
@@ -108,7 +108,7 @@
             match action.map(|action| &action.phase) {
                 Some(Phase::Ended { end, .. }) => OwnerAnswer::Ended(end.clone()),
                 Some(_) => OwnerAnswer::Running,
-                None if is_forgotten => OwnerAnswer::Gone,
+                None if may_be_removed => OwnerAnswer::Gone,
                 None => OwnerAnswer::NeverRun,
             }
         };
@@ -137,16 +137,16 @@
         &mut self,
         context: &mut Context<'_>,
         peer: PeerEndpoint,
-        theirs: Option<ClaimGroup>,
+        peer_group: Option<ClaimGroup>,
     ) {
-        let their_epoch = theirs.as_ref().map(|group| group.epoch);
-        if let Some(group) = theirs {
+        let peer_epoch = peer_group.as_ref().map(|group| group.epoch);
+        if let Some(group) = peer_group {
             self.update_group(context, group);
         }
         let newer = self
             .member
             .latest()
-            .filter(|latest| their_epoch.is_none_or(|epoch| epoch < latest.epoch));
+            .filter(|latest| peer_epoch.is_none_or(|epoch| epoch < latest.epoch));
         if let Some(group) = newer.cloned() {
             let message = ActionMessage::Group { group };
             self.outbox.send(context, peer, message);
--- a/crates/thornbridge-core/src/action/running.rs
+++ b/crates/thornbridge-core/src/action/running.rs
@@ -89,7 +89,7 @@
         action.phase = Phase::Running {
             attempt: attempt.attempt,
             tried,
-            started: context.now,
+            started_at: context.now,
         };
         let grace_ends = action.deadline + self.parameters.attempt_grace;
         self.schedule_check(key, grace_ends);
@@ -198,7 +198,7 @@
             return;
         };
         let latency = match &action.phase {
-            Phase::Running { started, .. } => context.now.since(*started),
+            Phase::Running { started_at, .. } => context.now.since(*started_at),
             _ => std::time::Duration::ZERO,
         };
         let ran = matches!(action.phase, Phase::Running { .. });
--- a/crates/thornbridge-core/src/lease/state_machine/replies.rs
+++ b/crates/thornbridge-core/src/lease/state_machine/replies.rs
@@ -89,21 +89,21 @@
             renewal,
             version,
         } = grant;
-        let usable = self
+        let validity = self
             .parameters
             .duration
             .saturating_sub(self.parameters.margin);
-        let known = self
+        let current = self
             .held_lease
             .filter(|held_lease| held_lease.token == token);
-        let valid_until = known.map_or(sent_at + usable, |known| {
-            known.valid_until.max(sent_at + usable)
+        let valid_until = current.map_or(sent_at + validity, |current| {
+            current.valid_until.max(sent_at + validity)
         });
         if now >= valid_until {
             self.lose(now, counters);
             return;
         }
-        match known {
+        match current {
             Some(_) => counters.renewed += 1,
             None => counters.gained += 1,
         }
