--- a/crates/thornbridge-core/benches/query.rs
+++ b/crates/thornbridge-core/benches/query.rs
@@ -25,8 +25,8 @@
 const REPLICAS: u32 = 3;
 const HITS_PER_SHARD: u32 = 10;
 const LIMIT: u32 = 10;
-/// Queries in flight when memory is measured; below the initial concurrency limit.
-const MEASURED_QUERIES: usize = 60;
+/// Queries in flight in the memory benchmark; below the initial concurrency limit.
+const QUERIES_IN_FLIGHT: usize = 60;
 const PAGE_BYTES: usize = 4_096;
 const SERVICE: &str = "listener-search";
 
@@ -292,12 +292,12 @@
     driver.send_query();
     driver.running.clear();
     let before = resident_bytes();
-    for _ in 0..MEASURED_QUERIES {
+    for _ in 0..QUERIES_IN_FLIGHT {
         driver.send_query();
         // Drops the driver's copy of the attempts.
         driver.running.clear();
     }
-    let bytes = resident_bytes().saturating_sub(before) / MEASURED_QUERIES;
+    let bytes = resident_bytes().saturating_sub(before) / QUERIES_IN_FLIGHT;
     println!("query/memory: {bytes} resident bytes a query in flight, of which the router's part");
 }
 
--- a/crates/thornbridge-core/src/node/tests/harness.rs
+++ b/crates/thornbridge-core/src/node/tests/harness.rs
@@ -191,12 +191,12 @@
     /// Attempts in flight, in the order of sending.
     pub running: Vec<(ConnectionId, Attempt)>,
     pub ended_attempts: Vec<Attempt>,
-    pub cancels: u32,
-    pub stopped: u32,
+    pub cancel_count: u32,
+    pub stopped_count: u32,
     pub responses: BTreeMap<CallerId, Response>,
     pub sent_queries: BTreeMap<CallerId, String>,
     pub disconnected: BTreeSet<CallerId>,
-    addresses: BTreeMap<ConnectionId, BackEndId>,
+    connection_back_ends: BTreeMap<ConnectionId, BackEndId>,
     records: BTreeMap<RequestId, RequestRecord>,
 }
 
@@ -227,12 +227,12 @@
             open: BTreeSet::new(),
             running: Vec::new(),
             ended_attempts: Vec::new(),
-            cancels: 0,
-            stopped: 0,
+            cancel_count: 0,
+            stopped_count: 0,
             responses: BTreeMap::new(),
             sent_queries: BTreeMap::new(),
             disconnected: BTreeSet::new(),
-            addresses: BTreeMap::new(),
+            connection_back_ends: BTreeMap::new(),
             records: BTreeMap::new(),
         };
         harness.handle(Event::Started);
@@ -302,7 +302,7 @@
 
     /// Back end of an attempt in flight.
     pub fn back_end_at(&self, index: usize) -> BackEndId {
-        self.addresses[&self.running[index].0].clone()
+        self.connection_back_ends[&self.running[index].0].clone()
     }
 
     pub fn reply(&mut self, index: usize, reply: Reply) {
@@ -394,7 +394,7 @@
                 back_end,
                 ..
             } => {
-                self.addresses.insert(connection, back_end);
+                self.connection_back_ends.insert(connection, back_end);
                 self.opening.push(connection);
             }
             Action::CloseConnection { connection } => {
@@ -407,18 +407,18 @@
             } => {
                 assert!(
                     self.open.contains(&connection),
-                    "attempt sent on a connection that is not open"
+                    "attempt sent on {connection:?}, which is not open"
                 );
                 let busy = self
                     .running
                     .iter()
                     .any(|(running, _)| *running == connection);
-                assert!(!busy, "attempt sent on a busy connection");
+                assert!(!busy, "attempt sent on {connection:?}, which is busy");
                 let record = self.records.entry(attempt.request).or_default();
                 record.may_have_run.insert(attempt.attempt);
                 self.running.push((connection, attempt));
             }
-            Action::CancelAttempt { .. } => self.cancels += 1,
+            Action::CancelAttempt { .. } => self.cancel_count += 1,
             Action::AnswerQuery { caller, answer } => {
                 self.check_answer(caller, &answer);
                 self.record_response(caller, Response::Answer(answer));
@@ -428,7 +428,7 @@
                 self.record_response(caller, Response::Refusal(refusal));
             }
             Action::Stopped => {
-                self.stopped += 1;
+                self.stopped_count += 1;
                 assert_eq!(
                     self.unanswered_count(),
                     0,
@@ -442,14 +442,14 @@
     fn record_response(&mut self, caller: CallerId, response: Response) {
         assert!(
             self.sent_queries.contains_key(&caller),
-            "response to an unknown caller"
+            "response to unknown caller {caller:?}"
         );
         assert!(
             !self.disconnected.contains(&caller),
-            "response to a disconnected caller"
+            "response to disconnected caller {caller:?}"
         );
         let previous = self.responses.insert(caller, response);
-        assert!(previous.is_none(), "second response to a caller");
+        assert!(previous.is_none(), "second response to caller {caller:?}");
     }
 
     /// Number of connected callers without a response.
@@ -519,7 +519,7 @@
         assert_eq!(self.unanswered_count(), 0, "a caller has no response");
         self.handle(Event::StopRequested);
         self.advance(Duration::from_secs(60));
-        assert_eq!(self.stopped, 1, "the node did not stop");
+        assert_eq!(self.stopped_count, 1, "the node did not stop");
     }
 }
 
--- a/crates/thornbridge-core/src/node/tests/interleaving.rs
+++ b/crates/thornbridge-core/src/node/tests/interleaving.rs
@@ -26,7 +26,7 @@
     Install {
         shards: u32,
         replicas: u32,
-        second: bool,
+        with_second_snapshot: bool,
     },
     Stop,
 }
@@ -66,7 +66,10 @@
         );
         let install = (1..6u32, 1..4u32, any::<bool>());
         prop_oneof![
-            6 => send_query.prop_map(|(timeout_ms, minimum_coverage)| Step::SendQuery { timeout_ms, minimum_coverage }),
+            6 => send_query.prop_map(|(timeout_ms, minimum_coverage)| Step::SendQuery {
+                timeout_ms,
+                minimum_coverage
+            }),
             1 => (0..50usize).prop_map(Step::DisconnectCaller),
             8 => Just(Step::OpenAll),
             1 => (0..50usize).prop_map(Step::LoseConnection),
@@ -74,7 +77,11 @@
             2 => (0..50usize, reply()).prop_map(|(index, reply)| Step::ReplyAgain(index, reply)),
             3 => (0..50usize, failure()).prop_map(|(index, failure)| Step::Fail(index, failure)),
             8 => (0..60u64).prop_map(Step::Wait),
-            1 => install.prop_map(|(shards, replicas, second)| Step::Install { shards, replicas, second }),
+            1 => install.prop_map(|(shards, replicas, with_second_snapshot)| Step::Install {
+                shards,
+                replicas,
+                with_second_snapshot
+            }),
             1 => Just(Step::Stop),
         ]
         .boxed()
@@ -135,12 +142,12 @@
             Step::Install {
                 shards,
                 replicas,
-                second,
+                with_second_snapshot,
             } => {
                 spec.generation += 1;
                 spec.shards = shards;
                 spec.replicas = replicas;
-                spec.snapshots = if second {
+                spec.snapshots = if with_second_snapshot {
                     vec!["two", "one"]
                 } else {
                     vec!["one"]
@@ -154,7 +161,7 @@
     }
 
     fn check_invariants((harness, _): &Self::SystemUnderTest, _: &(CompletenessPolicy, u32)) {
-        assert!(harness.stopped <= 1);
+        assert!(harness.stopped_count <= 1);
         let busy = harness.node.queries.in_flight();
         assert_eq!(
             busy,
--- a/crates/thornbridge-core/src/node/tests/queries.rs
+++ b/crates/thornbridge-core/src/node/tests/queries.rs
@@ -36,7 +36,7 @@
 }
 
 /// Fills the latency histograms with replies of about 2 ms from every shard.
-fn learn_latencies(harness: &mut NodeHarness) {
+fn record_latencies(harness: &mut NodeHarness) {
     for _ in 0..60 {
         start_query(harness);
         reply_all_except(harness, u32::MAX);
@@ -68,7 +68,7 @@
     assert_eq!(coverage.shards_answered, 3);
     assert_eq!(coverage.missing[0].shard, ShardId(3));
     assert_eq!(coverage.missing[0].reason, MissingReason::TooSlow);
-    assert_eq!(harness.cancels, 1);
+    assert_eq!(harness.cancel_count, 1);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let mut spec = BundleSpec::new(LatencyFirst);
     spec.extra_load = 0.0;
     let mut harness = NodeHarness::new(&spec);
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     let (caller, sent_at) = start_query(&mut harness);
     reply_all_except(&mut harness, 3);
     while harness.unanswered_count() > 0 {
@@ -106,7 +106,7 @@
     let mut spec = BundleSpec::new(CoverageFirst);
     spec.extra_load = 0.0;
     let mut harness = NodeHarness::new(&spec);
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     let (caller, sent_at) = start_query(&mut harness);
     reply_all_except(&mut harness, 0);
     while harness.unanswered_count() > 0 {
@@ -166,13 +166,13 @@
     let (caller, _) = start_query(&mut harness);
     harness.reply(0, Reply::Leaving);
     assert_eq!(refusal(&harness, caller).executed, Executed::Unknown);
-    assert_eq!(harness.cancels, 3);
+    assert_eq!(harness.cancel_count, 3);
 }
 
 #[test]
 fn slow_shard_is_hedged_and_losing_attempt_cancelled() {
     let mut harness = NodeHarness::new(&BundleSpec::new(CoverageFirst));
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     let (caller, _) = start_query(&mut harness);
     reply_all_except(&mut harness, 1);
     let slow = harness.back_end_at(0);
@@ -182,7 +182,7 @@
     assert_ne!(harness.back_end_at(1), slow);
     harness.reply(1, Reply::Hits);
     assert_eq!(answer(&harness, caller).coverage.fraction, 1.0);
-    assert_eq!(harness.cancels, 1);
+    assert_eq!(harness.cancel_count, 1);
     let counters = harness.node.counters().query;
     assert_eq!((counters.hedges, counters.hedges_won), (1, 1));
     harness.reply(0, Reply::Hits);
@@ -194,7 +194,7 @@
     let mut spec = BundleSpec::new(CoverageFirst);
     spec.replicas = 1;
     let mut harness = NodeHarness::new(&spec);
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     start_query(&mut harness);
     reply_all_except(&mut harness, 1);
     harness.advance(Duration::from_millis(150));
@@ -207,7 +207,7 @@
     let mut spec = BundleSpec::new(CoverageFirst);
     spec.extra_load = 0.0;
     let mut harness = NodeHarness::new(&spec);
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     let (caller, _) = start_query(&mut harness);
     reply_all_except(&mut harness, 1);
     harness.reply(0, Reply::Failed);
@@ -228,15 +228,15 @@
     let mut harness = NodeHarness::new(&spec);
     let (caller, _) = start_query(&mut harness);
     reply_all_except(&mut harness, 1);
-    let denying_replica = harness.back_end_at(0);
+    let excluded = harness.back_end_at(0);
     harness.reply(0, Reply::NotHeld);
     harness.open_all();
-    assert_ne!(harness.back_end_at(0), denying_replica);
+    assert_ne!(harness.back_end_at(0), excluded);
     harness.reply(0, Reply::Hits);
     assert_eq!(answer(&harness, caller).coverage.fraction, 1.0);
     for _ in 0..20 {
         start_query(&mut harness);
-        let was_reused = (0..4).any(|index| harness.back_end_at(index) == denying_replica);
+        let was_reused = (0..4).any(|index| harness.back_end_at(index) == excluded);
         assert!(!was_reused, "replica without the snapshot was used again");
         reply_all_except(&mut harness, u32::MAX);
     }
@@ -251,7 +251,7 @@
         ..Parameters::default()
     };
     let mut harness = NodeHarness::with_parameters(&spec, parameters);
-    learn_latencies(&mut harness);
+    record_latencies(&mut harness);
     let (caller, _) = start_query(&mut harness);
     reply_all_except(&mut harness, 1);
     harness.reply(0, Reply::Failed);
@@ -286,7 +286,7 @@
     let mut harness = NodeHarness::new(&BundleSpec::new(CoverageFirst));
     let (caller, _) = start_query(&mut harness);
     harness.disconnect_caller(caller);
-    assert_eq!(harness.cancels, 4);
+    assert_eq!(harness.cancel_count, 4);
     assert_eq!(harness.node.queries.in_flight(), 0);
     harness.finish();
 }
--- a/crates/thornbridge-core/src/query/hedge.rs
+++ b/crates/thornbridge-core/src/query/hedge.rs
@@ -40,11 +40,11 @@
             return None;
         }
         let target = self.plan.rules.target.since(self.plan.arrived);
-        let learned = match of_best_replica {
+        let observed_quantile = match of_best_replica {
             true => self.router.expected_latency(holders, quantile),
-            false => self.latencies.learned_quantile(shard),
+            false => self.latencies.latency_quantile(shard),
         };
-        let delay = learned.unwrap_or_else(|| target.mul_f64(initial_share_of_target));
+        let delay = observed_quantile.unwrap_or_else(|| target.mul_f64(initial_share_of_target));
         Some(in_flight.sent_at(self.plan) + delay.max(minimum_delay))
     }
 
@@ -105,8 +105,8 @@
         if self.can_use_allowance(gather) {
             return true;
         }
-        let least = self.plan.rules.least_expected_shards(gather.progress());
-        least.is_some_and(|least| self.expected_shards(gather) < least)
+        let min_expected = self.plan.rules.least_expected_shards(gather.progress());
+        min_expected.is_some_and(|min_expected| self.expected_shards(gather) < min_expected)
     }
 
     /// Whether the query is slow and the coverage allowance covers the missing shards.
@@ -128,7 +128,7 @@
     fn only_budget_waits_remain(&self, gather: &Gather) -> bool {
         let rules = &self.plan.rules;
         let progress = gather.progress();
-        let waiting = gather
+        let blocked_retries = gather
             .retries()
             .iter()
             .filter(|retry| gather.reason(retry.shard) == MissingReason::BudgetSpent)
@@ -136,20 +136,20 @@
         rules.uses_service_policy()
             && rules.target <= self.now
             && rules.has_minimum_coverage(progress)
-            && waiting == progress.unresolved as usize
+            && blocked_retries == progress.unresolved as usize
     }
 
     /// Time of the next check of the query, if no attempt ends before.
     pub(super) fn next_check(&self, gather: &Gather) -> Timestamp {
         let rules = &self.plan.rules;
-        let soonest = self.now + self.parameters.look_interval;
+        let earliest_check = self.now + self.parameters.look_interval;
         let by_target =
             (rules.prefers_latency() && rules.target > self.now).then_some(rules.target);
-        let by_hedge = self.next_hedge(gather).map(|time| time.max(soonest));
+        let by_hedge = self.next_hedge(gather).map(|time| time.max(earliest_check));
         let by_retry = gather.next_retry();
         let by_recheck = rules
             .least_expected_shards(gather.progress())
-            .map(|_| soonest);
+            .map(|_| earliest_check);
         [by_target, by_hedge, by_retry, by_recheck]
             .into_iter()
             .flatten()
--- a/crates/thornbridge-core/src/query/scatter.rs
+++ b/crates/thornbridge-core/src/query/scatter.rs
@@ -126,8 +126,8 @@
         if gather.shard(shard).resends >= self.parameters.free_resends_per_shard {
             return self.retry(gather, shard, reason, Duration::ZERO);
         }
-        let unusable = self.unusable(gather, shard);
-        let Some(chosen) = self.choose(shard, unusable) else {
+        let unusable_replicas = self.unusable_replicas(gather, shard);
+        let Some(chosen) = self.choose(shard, unusable_replicas) else {
             return self.retry_shed_or_fail(gather, shard, reason, Duration::ZERO);
         };
         self.counters.resends += 1;
@@ -154,8 +154,8 @@
         if gather.shard(shard).attempts >= self.max_attempts() {
             return gather.fail_shard(shard, reason);
         }
-        let unusable = self.unusable(gather, shard);
-        let Some(chosen) = self.choose(shard, unusable) else {
+        let unusable_replicas = self.unusable_replicas(gather, shard);
+        let Some(chosen) = self.choose(shard, unusable_replicas) else {
             return self.retry_shed_or_fail(gather, shard, reason, retry_after);
         };
         if !self.acquire_extra_attempt(ExtraAttempt::Retry) {
@@ -198,15 +198,15 @@
         shard: ShardId,
         in_flight: InFlightAttempt,
     ) -> bool {
-        let mut unusable = self.unusable(gather, shard);
-        unusable.insert(in_flight.replica);
-        if !self.has_usable_replica(shard, unusable) {
+        let mut unusable_replicas = self.unusable_replicas(gather, shard);
+        unusable_replicas.insert(in_flight.replica);
+        if !self.has_usable_replica(shard, unusable_replicas) {
             return false;
         }
         if !self.acquire_extra_attempt(ExtraAttempt::Hedge) {
             return false;
         }
-        let Some(chosen) = self.choose(shard, unusable) else {
+        let Some(chosen) = self.choose(shard, unusable_replicas) else {
             return false;
         };
         self.counters.hedges += 1;
@@ -255,8 +255,8 @@
         let age = self.context.now.since(in_flight.sent_at(self.plan));
         let slow = self
             .latencies
-            .learned_quantile(shard)
-            .is_some_and(|usual| age > usual);
+            .latency_quantile(shard)
+            .is_some_and(|quantile| age > quantile);
         if slow {
             self.latencies.record(shard, age);
         }
@@ -268,22 +268,22 @@
     }
 
     /// Replicas that failed or shed.
-    fn unusable(&self, gather: &mut Gather, shard: ShardId) -> ReplicaSet {
+    fn unusable_replicas(&self, gather: &mut Gather, shard: ShardId) -> ReplicaSet {
         let progress = gather.shard(shard);
         progress.failed_replicas.union(progress.shed_replicas)
     }
 
-    fn has_usable_replica(&self, shard: ShardId, unusable: ReplicaSet) -> bool {
-        (0..self.holders(shard).len() as u8).any(|replica| !unusable.contains(replica))
+    fn has_usable_replica(&self, shard: ShardId, unusable_replicas: ReplicaSet) -> bool {
+        (0..self.holders(shard).len() as u8).any(|replica| !unusable_replicas.contains(replica))
     }
 
-    fn choose(&mut self, shard: ShardId, unusable: ReplicaSet) -> Option<ChosenReplica> {
+    fn choose(&mut self, shard: ShardId, unusable_replicas: ReplicaSet) -> Option<ChosenReplica> {
         let holders = &self.plan.service.holders[shard.0 as usize];
         let holders = &holders[..holders.len().min(MAX_REPLICAS)];
         let excluded: Vec<BackEndId> = holders
             .iter()
             .enumerate()
-            .filter(|(index, _)| unusable.contains(*index as u8))
+            .filter(|(index, _)| unusable_replicas.contains(*index as u8))
             .map(|(_, back_end)| back_end.clone())
             .collect();
         let back_end = self.router.choose(self.context, holders, &excluded).ok()?;
--- a/crates/thornbridge-core/src/query/shard_latency.rs
+++ b/crates/thornbridge-core/src/query/shard_latency.rs
@@ -117,7 +117,7 @@
 }
 
 impl ShardLatencies {
-    /// Creates empty histograms. [`Self::learned_quantile`] returns the given quantile.
+    /// Creates empty histograms. [`Self::latency_quantile`] returns the given quantile.
     pub(super) fn new(quantile: f64, allowance: CoverageAllowance) -> Self {
         Self {
             allowance,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Records the latency of an attempt with hits, or the age of a cancelled one as a lower bound
-    /// of its latency: otherwise, slow attempts would not be counted.
+    /// Records the latency of an attempt with hits, or the age of a slow cancelled one as a lower
+    /// bound of its latency. Without the latter, stragglers would be underrepresented.
     pub(super) fn record(&mut self, shard: ShardId, latency: Duration) {
         self.service.record(latency, self.quantile);
         if let Some(histogram) = self.shards.get_mut(shard.0 as usize) {
@@ -145,18 +145,18 @@
     }
 
     /// Latency quantile of a shard's attempts; `None` before enough observations.
-    pub(super) fn learned_quantile(&self, shard: ShardId) -> Option<Duration> {
+    pub(super) fn latency_quantile(&self, shard: ShardId) -> Option<Duration> {
         if !self.service.has_enough_observations() {
             return None;
         }
-        let of_service = self.service.cached_quantile;
-        let of_shard = self
+        let service_quantile = self.service.cached_quantile;
+        let shard_quantile = self
             .shards
             .get(shard.0 as usize)
             .filter(|histogram| histogram.has_enough_observations())
             .map(|histogram| histogram.cached_quantile);
-        let most = of_service * MAX_RATIO_TO_SERVICE;
-        Some(of_shard.map_or(of_service, |latency| latency.min(most)))
+        let max_quantile = service_quantile * MAX_RATIO_TO_SERVICE;
+        Some(shard_quantile.map_or(service_quantile, |latency| latency.min(max_quantile)))
     }
 
     /// Probability that an attempt of this age completes within a further time; 1 before enough
@@ -176,8 +176,8 @@
         if still_running <= 0.0 {
             return 0.0;
         }
-        let running_then = histogram.share_above(age + within);
-        ((still_running - running_then) / still_running).clamp(0.0, 1.0)
+        let still_running_later = histogram.share_above(age + within);
+        ((still_running - still_running_later) / still_running).clamp(0.0, 1.0)
     }
 }
 
--- a/crates/thornbridge-core/src/query/tests.rs
+++ b/crates/thornbridge-core/src/query/tests.rs
@@ -65,7 +65,7 @@
     }
 
     #[test]
-    fn learned_quantile_is_in_bucket_of_exact_quantile(
+    fn latency_quantile_is_in_bucket_of_exact_quantile(
         micros in prop::collection::vec(200..50_000u64, 60..200)
     ) {
         let shard = ShardId(0);
@@ -79,10 +79,10 @@
         let mut sorted = micros.to_vec();
         sorted.sort_unstable();
         let exact = sorted[(sorted.len() as f64 * 0.95).ceil() as usize - 1];
-        let learned = latencies.learned_quantile(shard).unwrap();
+        let estimated = latencies.latency_quantile(shard).unwrap();
         let bucket = bucket_of(Duration::from_micros(exact));
-        let within = lower_edge(bucket) <= learned && learned <= upper_edge(bucket);
-        prop_assert!(within, "{learned:?} for {exact} us");
+        let within = lower_edge(bucket) <= estimated && estimated <= upper_edge(bucket);
+        prop_assert!(within, "{estimated:?} for {exact} us");
     }
 
     #[test]
@@ -113,7 +113,7 @@
     let mut latencies = latencies();
     latencies.resize(1);
     latencies.record(shard, Duration::from_millis(1));
-    assert_eq!(latencies.learned_quantile(shard), None);
+    assert_eq!(latencies.latency_quantile(shard), None);
     let age = Duration::from_secs(1);
     assert_eq!(
         latencies.completion_probability(shard, age, Duration::ZERO),
@@ -132,7 +132,7 @@
     for _ in 0..60_000 {
         latencies.record(shard, Duration::from_millis(2));
     }
-    assert!(latencies.learned_quantile(shard).unwrap() < Duration::from_millis(3));
+    assert!(latencies.latency_quantile(shard).unwrap() < Duration::from_millis(3));
 }
 
 #[test]
--- a/crates/thornbridge-core/src/snapshot/mod.rs
+++ b/crates/thornbridge-core/src/snapshot/mod.rs
@@ -164,7 +164,7 @@
                 continue;
             };
             let coverage = self.coverage(now, snapshot, layout);
-            if best.is_none_or(|(most, _, _)| coverage > most) {
+            if best.is_none_or(|(best_coverage, _, _)| coverage > best_coverage) {
                 best = Some((coverage, snapshot, layout));
             }
             if coverage >= 1.0 {
