--- a/crates/thornbridge-core/benches/control_scale.rs
+++ b/crates/thornbridge-core/benches/control_scale.rs
@@ -1,13 +1,13 @@
-//! Cost and speed of membership and health sharing at several sizes, in virtual time.
+//! Cost and convergence time of membership and health sharing by cluster size, in virtual time.
 //!
 //! `cargo bench -p thornbridge-core --bench control_scale [-- 40 160 690]`. Bytes are those of
-//! the encoded peer messages, without TCP and IP headers. Processor time is what this process
-//! spent on a processor, divided by nodes and virtual seconds; it includes the share of the
-//! virtual network and the encoding of each message.
+//! the encoded peer messages, without TCP and IP headers. Processor time is that of this process,
+//! divided by nodes and virtual seconds; it includes the virtual network and the encoding of each
+//! message.
 
 #[path = "../tests/members/bundles.rs"]
 mod bundles;
-// Shared with the tests, which use more of it.
+// Shared with the tests, which use the items that are unused here.
 #[allow(dead_code)]
 #[path = "../tests/members/cluster.rs"]
 mod cluster;
@@ -45,12 +45,12 @@
     let resident_before = resident_bytes();
     let mut cluster = Cluster::new(size as u64, network);
     cluster.start_nodes(size, REGIONS, Duration::from_millis(50));
-    let formed = cluster.run_until(seconds(600.0), Cluster::converged);
-    println!("{size} nodes, 20 starts a second: agreed {formed:?} after the last start");
-    let together = forms_at_once(size);
-    println!("  all started at once: {together}");
+    let converged = cluster.run_until(seconds(600.0), Cluster::converged);
+    println!("{size} nodes, 20 starts a second: converged {converged:?} after the last start");
+    let simultaneous = measure_simultaneous_start(size);
+    println!("  all started at once: {simultaneous}");
 
-    let quiet = window(&mut cluster, QUIET_SECONDS, |_| {});
+    let quiet = measure_window(&mut cluster, QUIET_SECONDS, |_| {});
     println!("  quiet, membership alone: {quiet}");
     let resident = resident_bytes().saturating_sub(resident_before) / size as u64;
     println!("  resident memory: {resident} B a node");
@@ -60,9 +60,9 @@
     measure_split(&mut cluster);
 }
 
-/// One replacement in 20 s, nine times the rate of 480 a day.
+/// Replaces a node every 20 s.
 fn measure_replacements(cluster: &mut Cluster, size: usize) {
-    let started = bytes(cluster);
+    let bytes_before = bytes(cluster);
     for sample in 0..6 {
         let victim = 100.min(size / 2) + sample;
         cluster.leave(victim);
@@ -72,34 +72,36 @@
         cluster.run(seconds(18.0));
     }
     let nodes = cluster.running().len() as f64;
-    let per_second = (bytes(cluster) - started) / nodes / 120.0;
-    let agreed = cluster.converged();
-    println!("  a replacement each 20 s, for 120 s: {per_second:.0} B/s a node, agreed {agreed}");
+    let per_second = (bytes(cluster) - bytes_before) / nodes / 120.0;
+    let converged = cluster.converged();
+    println!(
+        "  a replacement each 20 s, for 120 s: {per_second:.0} B/s a node, converged {converged}"
+    );
 }
 
 fn measure_split(cluster: &mut Cluster) {
     cluster.network.regions_split = true;
-    let split = window(cluster, 120.0, |_| {});
+    let split = measure_window(cluster, 120.0, |_| {});
     println!("  regions split, first 120 s: {split}");
     cluster.network.regions_split = false;
     for minute in 1..=10 {
-        let healing = window(cluster, 60.0, |_| {});
-        let agreed = cluster.converged();
-        println!("  healing, minute {minute}: {healing}, agreed {agreed}");
-        if agreed {
+        let healing = measure_window(cluster, 60.0, |_| {});
+        let converged = cluster.converged();
+        println!("  healing, minute {minute}: {healing}, converged {converged}");
+        if converged {
             return;
         }
     }
 }
 
-/// Time that this process has spent on a processor; zero where the system does not tell.
+/// Processor time of this process; zero if the system does not report it.
 fn processor_time() -> Duration {
     let statistics = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let nanoseconds = statistics.split_whitespace().next();
     Duration::from_nanos(nanoseconds.and_then(|text| text.parse().ok()).unwrap_or(0))
 }
 
-/// Resident memory of this process, with all its nodes; 0 where the system does not tell.
+/// Resident memory of this process, with all its nodes; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let statistics = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -119,41 +121,41 @@
     for sample in 0..SAMPLES {
         let victim = 3 + sample;
         cluster.crash(victim);
-        let seen = cluster.run_until(seconds(30.0), |cluster| cluster.all_observe(victim, None));
-        crashes.push(seen);
+        let elapsed = cluster.run_until(seconds(30.0), |cluster| cluster.all_observe(victim, None));
+        crashes.push(elapsed);
         cluster.run(seconds(5.0));
         let leaver = 3 + SAMPLES + sample;
         cluster.leave(leaver);
         let leaving = Some(MemberState::Leaving);
-        let seen = cluster.run_until(seconds(30.0), |cluster| {
+        let elapsed = cluster.run_until(seconds(30.0), |cluster| {
             cluster.all_observe(leaver, leaving)
         });
-        leaves.push(seen);
+        leaves.push(elapsed);
         cluster.crash(leaver);
         cluster.run(seconds(5.0));
     }
-    println!("  crash known everywhere: {}", spread(crashes));
-    println!("  leaving known everywhere: {}", spread(leaves));
+    println!("  crash known everywhere: {}", summary(crashes));
+    println!("  leaving known everywhere: {}", summary(leaves));
 
-    let rack = size / 17;
-    let lost = window(cluster, 30.0, |cluster| {
-        for victim in 30..30 + rack {
+    let rack_size = size / 17;
+    let lost = measure_window(cluster, 30.0, |cluster| {
+        for victim in 30..30 + rack_size {
             cluster.crash(victim);
         }
     });
     println!(
-        "  rack of {rack} lost, 30 s: {lost}, agreed {}",
+        "  rack of {rack_size} lost, 30 s: {lost}, converged {}",
         cluster.converged()
     );
 }
 
 fn measure_health(cluster: &mut Cluster, size: usize) {
     let back_ends = (size as f64 * BACK_ENDS_PER_NODE) as usize;
-    let installed = window(cluster, 60.0, |cluster| {
+    let installed = measure_window(cluster, 60.0, |cluster| {
         cluster.install(bundle(back_ends, REGIONS));
     });
     println!("  first minute with {back_ends} back ends: {installed}");
-    let quiet = window(cluster, QUIET_SECONDS, |_| {});
+    let quiet = measure_window(cluster, QUIET_SECONDS, |_| {});
     println!("  quiet, with health: {quiet}");
     let resident = resident_bytes() / size as u64;
     println!("  resident memory of the whole process: {resident} B a node");
@@ -161,53 +163,59 @@
     let mut leaves = Vec::new();
     for sample in 0..SAMPLES {
         let id = back_end(sample * 7);
-        let model = cluster.back_ends.get_mut(&id).expect("it is in the bundle");
+        let model = cluster
+            .back_ends
+            .get_mut(&id)
+            .expect("the back end is in the bundle");
         model.report.readiness = Readiness::Leaving;
-        let seen = cluster.run_until(seconds(30.0), |cluster| {
+        let elapsed = cluster.run_until(seconds(30.0), |cluster| {
             cluster.all_health_records(&id, |record| record.readiness == Readiness::Leaving)
         });
-        leaves.push(seen);
+        leaves.push(elapsed);
     }
     println!(
         "  idle back end leaving, known everywhere: {}",
-        spread(leaves)
+        summary(leaves)
     );
 
-    for (name, share) in [("a tenth of", 10), ("all", 1)] {
-        let label = format!("snapshot-of-{share}");
-        let changed = window(cluster, 120.0, |cluster| {
-            for index in (0..back_ends).step_by(share) {
+    for (name, step) in [("a tenth of", 10), ("all", 1)] {
+        let label = format!("snapshot-of-{step}");
+        let changed = measure_window(cluster, 120.0, |cluster| {
+            for index in (0..back_ends).step_by(step) {
                 let model = cluster.back_ends.get_mut(&back_end(index));
                 let snapshots = vec![label.as_str().into()];
-                model.expect("it is in the bundle").report.snapshots = Some(snapshots);
+                model
+                    .expect("the back end is in the bundle")
+                    .report
+                    .snapshots = Some(snapshots);
             }
         });
-        let known = known_share(cluster, back_ends, share, &label);
+        let known = known_share(cluster, back_ends, step, &label);
         println!("  new snapshot on {name} back ends, 120 s: {changed}, known {known:.4}");
     }
 }
 
-/// Share of pairs of a node and a changed back end where the node knows the new snapshot.
-fn known_share(cluster: &Cluster, back_ends: usize, share: usize, label: &str) -> f64 {
+/// Share of (node, changed back end) pairs in which the node knows the new snapshot.
+fn known_share(cluster: &Cluster, back_ends: usize, step: usize, label: &str) -> f64 {
     let mut known = 0;
     let mut pairs = 0;
     for host in cluster.running() {
-        for index in (0..back_ends).step_by(share) {
+        for index in (0..back_ends).step_by(step) {
             let record = cluster.health_record(host, &back_end(index));
-            let holds = record
+            let is_known = record
                 .snapshots
                 .is_some_and(|held| held[0].as_str() == label);
             pairs += 1;
-            known += u64::from(holds);
+            known += u64::from(is_known);
         }
     }
     known as f64 / pairs as f64
 }
 
-fn forms_at_once(size: usize) -> String {
+fn measure_simultaneous_start(size: usize) -> String {
     let mut cluster = Cluster::new(size as u64 + 1, Network::default());
     cluster.start_nodes(size, REGIONS, Duration::ZERO);
-    let agreed = cluster.run_until(seconds(600.0), Cluster::converged);
+    let converged = cluster.run_until(seconds(600.0), Cluster::converged);
     let bytes: u64 = cluster
         .processes
         .iter()
@@ -219,19 +227,21 @@
         .map(|process| process.bytes_sent)
         .max();
     format!(
-        "agreed {agreed:?}, {} B a node, highest {highest:?}",
+        "converged {converged:?}, {} B a node, highest {highest:?}",
         bytes / size as u64
     )
 }
 
+/// Traffic per node and second, and processor time, over an interval.
 struct Window {
-    bytes: f64,
-    bytes_maximum: f64,
-    health_bytes: f64,
-    probes: f64,
-    messages: f64,
-    processor: f64,
-    largest: usize,
+    bytes_per_second: f64,
+    max_bytes_per_second: f64,
+    health_bytes_per_second: f64,
+    probes_per_second: f64,
+    messages_per_second: f64,
+    /// Share of a processor.
+    processor_share: f64,
+    largest_message_bytes: usize,
 }
 
 impl std::fmt::Display for Window {
@@ -239,18 +249,18 @@
         write!(
             formatter,
             "{:.0} B/s a node (highest {:.0}, for health {:.0}), {:.1} probes/s, {:.1} messages/s, largest {} B, processor {:.4}%",
-            self.bytes,
-            self.bytes_maximum,
-            self.health_bytes,
-            self.probes,
-            self.messages,
-            self.largest,
-            self.processor * 100.0
+            self.bytes_per_second,
+            self.max_bytes_per_second,
+            self.health_bytes_per_second,
+            self.probes_per_second,
+            self.messages_per_second,
+            self.largest_message_bytes,
+            self.processor_share * 100.0
         )
     }
 }
 
-fn window(cluster: &mut Cluster, length: f64, begin: impl FnOnce(&mut Cluster)) -> Window {
+fn measure_window(cluster: &mut Cluster, length: f64, action: impl FnOnce(&mut Cluster)) -> Window {
     for process in &mut cluster.processes {
         process.bytes_sent = 0;
         process.messages_sent = 0;
@@ -259,7 +269,7 @@
         process.largest_message = 0;
     }
     let started = processor_time();
-    begin(cluster);
+    action(cluster);
     cluster.run(seconds(length));
     let processor = (processor_time() - started).as_secs_f64();
     let running = cluster.running();
@@ -272,23 +282,23 @@
     let messages: u64 = running.iter().map(|host| of(host).messages_sent).sum();
     let largest = running.iter().map(|host| of(host).largest_message).max();
     Window {
-        bytes: bytes as f64 / nodes / length,
-        bytes_maximum: highest.unwrap_or(0) as f64 / length,
-        health_bytes: health as f64 / nodes / length,
-        probes: probes as f64 / nodes / length,
-        messages: messages as f64 / nodes / length,
-        processor: processor / nodes / length,
-        largest: largest.unwrap_or(0),
+        bytes_per_second: bytes as f64 / nodes / length,
+        max_bytes_per_second: highest.unwrap_or(0) as f64 / length,
+        health_bytes_per_second: health as f64 / nodes / length,
+        probes_per_second: probes as f64 / nodes / length,
+        messages_per_second: messages as f64 / nodes / length,
+        processor_share: processor / nodes / length,
+        largest_message_bytes: largest.unwrap_or(0),
     }
 }
 
-fn spread(mut samples: Vec<Option<Duration>>) -> String {
+fn summary(mut samples: Vec<Option<Duration>>) -> String {
     let missed = samples.iter().filter(|sample| sample.is_none()).count();
     samples.sort();
-    let seen: Vec<Duration> = samples.into_iter().flatten().collect();
-    let median = seen.get(seen.len() / 2);
+    let completed: Vec<Duration> = samples.into_iter().flatten().collect();
+    let median = completed.get(completed.len() / 2);
     format!(
         "median {median:?}, longest {:?}, not within 30 s: {missed}",
-        seen.last()
+        completed.last()
     )
 }
--- a/crates/thornbridge-core/benches/dissemination.rs
+++ b/crates/thornbridge-core/benches/dissemination.rs
@@ -1,6 +1,6 @@
-//! Processor time of dissemination at 3,300 servers: what a node spends for each change.
+//! Benchmarks of the processor time that a node spends on one configuration change.
 
-#![allow(missing_docs)] // The macros of criterion make functions without any.
+#![allow(missing_docs)] // The macros of criterion generate undocumented functions.
 
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use rand::SeedableRng;
@@ -79,7 +79,9 @@
 }
 
 fn record(generation: u64, bundle: &Bundle) -> GenerationRecord {
-    let digest = SectionSet::of(bundle).expect("can be encoded").digest();
+    let digest = SectionSet::of(bundle)
+        .expect("the bundle can be encoded")
+        .digest();
     GenerationRecord {
         generation: Generation(generation),
         version: bundle.version.clone(),
@@ -93,11 +95,13 @@
 fn whole(generation: u64, bundle: &Bundle) -> ConfigurationMessage {
     ConfigurationMessage::Whole {
         record: record(generation, bundle),
-        sections: SectionSet::of(bundle).expect("can be encoded").to_wire(),
+        sections: SectionSet::of(bundle)
+            .expect("the bundle can be encoded")
+            .to_wire(),
     }
 }
 
-fn take(register: &mut ConfigurationRegister, message: ConfigurationMessage) -> usize {
+fn receive(register: &mut ConfigurationRegister, message: ConfigurationMessage) -> usize {
     let mut random = Pcg64Mcg::seed_from_u64(1);
     let (mut actions, mut signals) = (VecDeque::new(), VecDeque::new());
     let mut context = Context::new(Timestamp::ZERO, &mut random, &mut actions, &mut signals);
@@ -110,16 +114,16 @@
 }
 
 fn register() -> ConfigurationRegister {
-    let trusted = vec![TrustedKey::of("ops", &key())];
-    let mut register = ConfigurationRegister::new(Default::default(), trusted);
-    take(&mut register, whole(1, &bundle("v1")));
+    let trusted_keys = vec![TrustedKey::of("ops", &key())];
+    let mut register = ConfigurationRegister::new(Default::default(), trusted_keys);
+    receive(&mut register, whole(1, &bundle("v1")));
     register
 }
 
 fn delta() -> ConfigurationMessage {
     let (old, new) = (bundle("v1"), bundle("v2"));
-    let old = SectionSet::of(&old).expect("can be encoded");
-    let sections = SectionSet::of(&new).expect("can be encoded");
+    let old = SectionSet::of(&old).expect("the bundle can be encoded");
+    let sections = SectionSet::of(&new).expect("the bundle can be encoded");
     let delta = sections.delta_from(&old.index());
     ConfigurationMessage::Delta {
         record: record(2, &new),
@@ -134,26 +138,30 @@
     criterion.bench_function("accept a delta, 3300 servers", |bencher| {
         bencher.iter_batched_ref(
             || (register(), Some(delta.clone())),
-            |(register, delta)| take(register, delta.take().expect("one for each run")),
+            |(register, delta)| receive(register, delta.take().expect("the batch size is one")),
             BatchSize::PerIteration,
         );
     });
-    let mut ahead = register();
-    let base = ahead.active().expect("accepted").record.digest;
-    take(&mut ahead, delta.clone());
+    let mut updated = register();
+    let base = updated
+        .active()
+        .expect("a configuration is active")
+        .record
+        .digest;
+    receive(&mut updated, delta.clone());
     let request = ConfigurationMessage::Request {
         base: Some(base),
         generation: Some(Generation(1)),
     };
     criterion.bench_function("answer with a delta, 3300 servers", |bencher| {
-        bencher.iter(|| black_box(take(&mut ahead, request.clone())));
+        bencher.iter(|| black_box(receive(&mut updated, request.clone())));
     });
     let announcement = ConfigurationMessage::Announce {
-        summary: ahead.active().map(|active| active.summary),
+        summary: updated.active().map(|active| active.summary),
         platform_age_ms: Some(100),
     };
     criterion.bench_function("take an announcement", |bencher| {
-        bencher.iter(|| black_box(take(&mut ahead, announcement.clone())));
+        bencher.iter(|| black_box(receive(&mut updated, announcement.clone())));
     });
 }
 
