--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -304,7 +304,8 @@
         }
     }
 
-    /// Sends the action engine's requests to the platform, if this node holds a reader lease.
+    /// Passes the lease state to the action engine and sends the engine's next request to the
+    /// platform.
     fn poll_action_platform_requests(&mut self, now: Timestamp) {
         let holds_lease = self.control.readers.held_token(now).is_some();
         self.action_engine.set_platform_reader(now, holds_lease);
--- a/crates/thornbridge-core/src/query/gather.rs
+++ b/crates/thornbridge-core/src/query/gather.rs
@@ -79,7 +79,7 @@
 pub(super) struct ShardProgress {
     /// The attempt in flight; with a hedge, the older of the two.
     in_flight: Option<InFlightAttempt>,
-    /// Failed replicas; not used again by this query.
+    /// Replicas with a failed attempt or one that did not run; not used again by this query.
     pub(super) failed_replicas: ReplicaSet,
     /// Replicas that shed an attempt; usable again after their retry delay.
     pub(super) shed_replicas: ReplicaSet,
--- a/crates/thornbridge-core/src/query/mod.rs
+++ b/crates/thornbridge-core/src/query/mod.rs
@@ -50,7 +50,7 @@
     plan: QueryPlan,
     /// Absent while the query is queued.
     gather: Option<Gather>,
-    /// Arrival time while the query is queued.
+    /// Start of execution; arrival time while the query is queued.
     run_started_at: Timestamp,
     next_check: Option<Timestamp>,
 }
@@ -204,7 +204,7 @@
         self.end_or_reschedule(context, resources, id);
     }
 
-    /// Refuses a queued query.
+    /// Refuses a query that has not run.
     pub fn refuse_queued(
         &mut self,
         context: &mut Context<'_>,
@@ -297,13 +297,18 @@
     /// Checks the queries whose timers are due.
     pub fn timer_due(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>) {
         while let Some(sequence) = self.timers.due(context.now) {
-            self.check(context, resources, self.request_id(sequence));
+            self.check_progress(context, resources, self.request_id(sequence));
         }
     }
 
     /// Sends the retries and hedges of one query that are due, then ends it or schedules its next
     /// check.
-    fn check(&mut self, context: &mut Context<'_>, resources: &mut Resources<'_>, id: RequestId) {
+    fn check_progress(
+        &mut self,
+        context: &mut Context<'_>,
+        resources: &mut Resources<'_>,
+        id: RequestId,
+    ) {
         let Some(query) = self.queries.get_mut(&id.sequence) else {
             return;
         };
--- a/crates/thornbridge-core/src/snapshot/mod.rs
+++ b/crates/thornbridge-core/src/snapshot/mod.rs
@@ -21,7 +21,7 @@
 pub struct ServicePlan {
     /// Configuration under which the plan was made.
     pub configuration: Arc<ActiveConfiguration>,
-    /// The service.
+    /// Service of the plan.
     pub service: ServiceName,
     /// Snapshot of all hits.
     pub snapshot: SnapshotId,
