--- a/crates/thornbridge-core/benches/query.rs
+++ b/crates/thornbridge-core/benches/query.rs
@@ -298,7 +298,9 @@
         driver.running.clear();
     }
     let bytes = resident_bytes().saturating_sub(before) / QUERIES_IN_FLIGHT;
-    println!("query/memory: {bytes} resident bytes a query in flight, of which the router's part");
+    println!(
+        "query/memory: {bytes} resident bytes for each query in flight, including routing state"
+    );
 }
 
 criterion_group!(benches, driver_alone, whole_query, memory);
--- a/crates/thornbridge-core/src/query/parameters.rs
+++ b/crates/thornbridge-core/src/query/parameters.rs
@@ -108,8 +108,8 @@
 }
 
 impl QueryParameters {
-    /// Baseline for comparisons: no hedges, wait for all shards until the hard deadline, two retries
-    /// without a budget.
+    /// Baseline for comparisons: no hedges, wait for all shards until the hard deadline, two
+    /// retries without a budget.
     pub fn baseline() -> Self {
         Self {
             hedge: HedgePolicy::Never,
