--- a/crates/thornbridge-core/src/action/answering.rs
+++ b/crates/thornbridge-core/src/action/answering.rs
@@ -172,8 +172,8 @@
             reason: RefusalReason::OutcomeUnknown,
             executed: Executed::Unknown,
             retry_after: Some(super::RETRY_AFTER_NO_GROUP),
-            detail: "the nodes that keep keys did not decide in time; an earlier request with \
-                     this key may have run; ask again with the same key"
+            detail: "the claim group did not decide on the key before the deadline; an earlier \
+                     request with this key may have run; retry with the same key"
                 .to_owned(),
         };
         self.remove_and_refuse(context, key, &refusal);
@@ -224,7 +224,8 @@
                 reason,
                 executed,
                 retry_after: Some(super::RETRY_AFTER_NO_GROUP),
-                detail: "the action did not end in time; ask again with the same key".to_owned(),
+                detail: "the action did not end before the deadline; retry with the same key"
+                    .to_owned(),
             };
             self.refuse(context, &service, waiter, refusal);
         }
@@ -329,6 +330,6 @@
         reason: RefusalReason::KeyReused,
         executed: Executed::No,
         retry_after: None,
-        detail: "the key was used with another payload; this one was not run".to_owned(),
+        detail: "the key was used with another payload; this request was not run".to_owned(),
     }
 }
--- a/crates/thornbridge-core/src/action/claiming.rs
+++ b/crates/thornbridge-core/src/action/claiming.rs
@@ -147,7 +147,7 @@
         match votes.holder.clone() {
             Some(holder) => self.query_owner(context, resources, key, holder),
             None => {
-                let detail = "the nodes that keep keys have no room; the action was not run";
+                let detail = "claim tables of the claim group are full; the action was not run";
                 self.refuse_not_run(context, resources, key, RefusalReason::Overloaded, detail);
             }
         }
@@ -238,7 +238,7 @@
             reason: RefusalReason::OutcomeUnknown,
             executed: Executed::Unknown,
             retry_after: None,
-            detail: "the node that took this key is gone; the action may have run and is not sent \
+            detail: "the node that owns the key is gone; the action may have run and is not sent \
                      again"
                 .to_owned(),
         };
--- a/crates/thornbridge-core/src/action/mod.rs
+++ b/crates/thornbridge-core/src/action/mod.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Counters.
+    /// Counters of this node's actions and of its work for the claim group.
     pub fn counters(&self) -> ActionCounters {
         let mut counters = self.counters.clone();
         counters.grants = self.member.grants;
@@ -158,7 +158,7 @@
         } else if self.owned.len() >= self.parameters.maximum_claims {
             let refusal = PlanRefusal {
                 reason: RefusalReason::Overloaded,
-                detail: "this node remembers as many keys as it may; the action was not run"
+                detail: "idempotency key table of the node is full; the action was not run"
                     .to_owned(),
             };
             self.refuse_unadmitted(context, &request.service, waiter, refusal);
@@ -239,7 +239,7 @@
             reason: refusal.reason,
             executed: Executed::No,
             retry_after: Some(refusal.retry_after),
-            detail: "too much is asked of this service now; the action was not run".to_owned(),
+            detail: "service overloaded; the action was not run".to_owned(),
         };
         self.remove_and_refuse(context, key, &refusal);
     }
--- a/crates/thornbridge-core/src/action/planner.rs
+++ b/crates/thornbridge-core/src/action/planner.rs
@@ -69,13 +69,12 @@
 fn check_limits(request: &ActionRequest) -> Result<(), PlanRefusal> {
     let length = request.key.len();
     if !(1..=IDEMPOTENCY_KEY_BYTES).contains(&length) {
-        let detail =
-            format!("the key has {length} bytes; 1 to {IDEMPOTENCY_KEY_BYTES} are allowed");
+        let detail = format!("key has {length} bytes; expected 1 to {IDEMPOTENCY_KEY_BYTES}");
         return refuse(RefusalReason::Invalid, detail);
     }
     let length = request.payload.len();
     if length > CALLER_BODY_BYTES {
-        let detail = format!("the payload has {length} bytes; the limit is {CALLER_BODY_BYTES}");
+        let detail = format!("payload has {length} bytes; the limit is {CALLER_BODY_BYTES}");
         return refuse(RefusalReason::Invalid, detail);
     }
     check_timeout(request.timeout)
--- a/crates/thornbridge-core/src/action/running.rs
+++ b/crates/thornbridge-core/src/action/running.rs
@@ -62,13 +62,13 @@
             return;
         };
         if action.deadline <= context.now {
-            let detail = "no attempt could be sent in time; the action was not run";
+            let detail = "no attempt could be sent before the deadline; the action was not run";
             let reason = RefusalReason::DeadlineExceeded;
             return self.refuse_not_run(context, resources, key, reason, detail);
         }
         let plan = Arc::clone(&action.plan);
         let Ok(back_end) = resources.router.choose(context, &plan.replicas, &tried) else {
-            let detail = "no back end takes the action now; it was not run";
+            let detail = "no back end is available; the action was not run";
             let reason = RefusalReason::NoBackEnd;
             return self.refuse_not_run(context, resources, key, reason, detail);
         };
@@ -129,7 +129,7 @@
             }
             AttemptResult::NotRun { shed } => {
                 if shed && !self.may_retry_shed(resources, key) {
-                    let detail = "the back end has too much to do; the action was not run";
+                    let detail = "the back end shed the action; it was not run";
                     let reason = RefusalReason::Overloaded;
                     return self.refuse_not_run(context, resources, key, reason, detail);
                 }
@@ -181,7 +181,8 @@
         resources: &mut Resources<'_>,
         key: Digest,
     ) {
-        let detail = "the back end did not answer; the action may have run and is not sent again";
+        let detail =
+            "no valid reply from the back end; the action may have run and is not sent again";
         let end = failed_end(RefusalReason::OutcomeUnknown, detail.to_owned());
         self.finish_owned(context, resources, key, end, LoadSignal::None);
     }
--- a/crates/thornbridge-core/src/lease/state_machine.rs
+++ b/crates/thornbridge-core/src/lease/state_machine.rs
@@ -244,10 +244,7 @@
 
     /// Reads the object first after a lost answer, since that renewal may have taken effect.
     fn renew(&mut self, now: Timestamp, held_lease: HeldLease) -> PlatformRequest {
-        if self
-            .uncertain_write
-            .is_some_and(|uncertain_write| uncertain_write.read_first)
-        {
+        if self.uncertain_write.is_some_and(|write| write.read_first) {
             return self.read(now);
         }
         let precondition = Precondition::Version(held_lease.version);
--- a/crates/thornbridge-core/src/lease/state_machine/replies.rs
+++ b/crates/thornbridge-core/src/lease/state_machine/replies.rs
@@ -159,14 +159,12 @@
             return;
         };
         counters.in_doubt += 1;
-        let is_same = |uncertain_write: &UncertainWrite| {
-            (uncertain_write.token, uncertain_write.renewal) == (token, renewal)
-        };
+        let is_same = |write: &UncertainWrite| (write.token, write.renewal) == (token, renewal);
         let earlier = self.uncertain_write.filter(is_same);
         self.uncertain_write = Some(UncertainWrite {
             token,
             renewal,
-            since: earlier.map_or(in_flight.sent_at, |uncertain_write| uncertain_write.since),
+            since: earlier.map_or(in_flight.sent_at, |write| write.since),
             read_first: true,
         });
     }
@@ -239,11 +237,9 @@
         }
         let token = FencingToken(lease.fencing_token);
         match self.uncertain_write.take() {
-            Some(uncertain_write)
-                if (uncertain_write.token, uncertain_write.renewal) == (token, lease.renewal) =>
-            {
+            Some(write) if (write.token, write.renewal) == (token, lease.renewal) => {
                 let grant = Grant {
-                    sent_at: uncertain_write.since,
+                    sent_at: write.since,
                     token,
                     renewal: lease.renewal,
                     version,
