--- a/crates/thornbridge-core/src/gateway/caller_try.rs
+++ b/crates/thornbridge-core/src/gateway/caller_try.rs
@@ -14,7 +14,7 @@
 /// Number of requests with the longest timeout after which they count as first tries.
 const CONFIRMATIONS: u32 = 2;
 /// Maximum number of request kinds tracked before the first configuration.
-const KINDS_MAXIMUM: usize = 1_024;
+const MAX_KINDS: usize = 1_024;
 
 /// Whether a request is its caller's first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     /// Records the timeout stated by a request.
     pub(super) fn observe(&mut self, head: &RequestHead, timeout: Duration) {
         let kind = kind_of(head);
-        if self.kinds.len() >= KINDS_MAXIMUM && !self.kinds.contains_key(&kind) {
+        if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) {
             return;
         }
         self.kinds.entry(kind).or_default().observe(timeout);
--- a/crates/thornbridge-core/src/gateway/exchange/answering.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/answering.rs
@@ -263,7 +263,7 @@
             };
             notable_attempts.push(AttemptSummary {
                 server: server.id.clone(),
-                sent_after: record.sent.since(request.arrived),
+                sent_after: record.sent_at.since(request.arrived),
                 cause: record.cause,
                 outcome: AttemptOutcome::Open,
                 duration: None,
--- a/crates/thornbridge-core/src/gateway/exchange/attempts.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/attempts.rs
@@ -28,7 +28,7 @@
     pub(super) part: usize,
     pub(super) route: RouteKey,
     pub(super) target: AttemptTarget,
-    pub(super) sent: Timestamp,
+    pub(super) sent_at: Timestamp,
     pub(super) cause: AttemptCause,
     pub(super) cancel_at: Option<Timestamp>,
     /// Request to suspect if the server crashes; `None` once any server answered it.
@@ -95,11 +95,12 @@
         &mut self,
         context: &mut Context<'_>,
         connection: ConnectionId,
-        took: Duration,
+        connect_time: Duration,
     ) {
-        if let Some(server) = context
-            .servers
-            .connection_opened(context.now, connection, took)
+        if let Some(server) =
+            context
+                .servers
+                .connection_opened(context.now, connection, connect_time)
         {
             self.serve_queue(context, server);
         }
@@ -272,7 +273,7 @@
         outcome: AttemptOutcome,
     ) {
         let now = context.now;
-        let took = now.since(record.sent);
+        let took = now.since(record.sent_at);
         let mean_work = context.routes.statistics(record.route).work.mean();
         let parameters = context.servers.parameters.clone();
         let Some(server) = context.servers.get_mut(record.target.server) else {
@@ -384,9 +385,9 @@
     };
     request.attempt_summaries.push(AttemptSummary {
         server: server.id.clone(),
-        sent_after: record.sent.since(request.arrived),
+        sent_after: record.sent_at.since(request.arrived),
         cause: record.cause,
         outcome,
-        duration: Some(context.now.since(record.sent)),
+        duration: Some(context.now.since(record.sent_at)),
     });
 }
--- a/crates/thornbridge-core/src/gateway/exchange/delay.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/delay.rs
@@ -1,8 +1,8 @@
-//! Delay of answers in this node, from the decision to the last byte.
+//! Estimator of delays: of answers in this node, from the decision to the last byte, and of slices
+//! beyond the time that their owners report.
 //!
-//! Reserving the delay keeps answers that are decided in time from leaving late on a busy
-//! processor. The estimator is that of RFC 6298, section 2: a smoothed mean plus four smoothed
-//! deviations.
+//! Reserving the expected delay keeps answers from being late on a busy processor. The estimator is
+//! that of RFC 6298, section 2: a smoothed mean plus four smoothed deviations.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 /// Deviations added to the mean (RFC 6298: K).
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Estimated answer delay.
+/// Estimator of one kind of delay.
 #[derive(Clone, Copy, Debug, Default)]
-pub(in crate::gateway) struct AnswerDelay {
+pub(in crate::gateway) struct DelayEstimator {
     mean_s: f64,
     deviation_s: f64,
     observed: bool,
 }
 
-impl AnswerDelay {
-    /// Records the delay of one answer.
+impl DelayEstimator {
+    /// Records an observed delay.
     pub(in crate::gateway) fn observe(&mut self, delay: Duration) {
         let delay_s = delay.as_secs_f64();
         if !self.observed {
--- a/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/dispatching.rs
@@ -166,7 +166,7 @@
             part: index,
             route: request.route.key,
             target,
-            sent: context.now,
+            sent_at: context.now,
             cause,
             cancel_at: None,
             suspect: Some(request.fingerprint),
--- a/crates/thornbridge-core/src/gateway/exchange/hedging.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/hedging.rs
@@ -40,8 +40,8 @@
             request.parts[index].check_at = Some(context.now + interval * 2);
             return;
         }
-        // Queueing would end the part's in-flight state. Without an idle connection one is opened,
-        // and the next check uses it.
+        // The part is not queued, which would end its in-flight state: without an idle connection,
+        // one is opened and the next check uses it.
         match context
             .servers
             .acquire_connection(context.now, context.actions, choice.server)
--- a/crates/thornbridge-core/src/gateway/exchange/mod.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/mod.rs
@@ -38,7 +38,7 @@
 use crate::driver_action::{CallerId, ConnectionId};
 use crate::time::Timestamp;
 use attempts::Attempt;
-pub(super) use delay::AnswerDelay;
+pub(super) use delay::DelayEstimator;
 use part::Part;
 use rand_pcg::Pcg64Mcg;
 use request::{Origin, Request};
@@ -84,7 +84,7 @@
     /// Scheduled cancellations of attempts.
     cancellations: BTreeSet<(Timestamp, AttemptId)>,
     next_attempt: u64,
-    answer_delay: AnswerDelay,
+    answer_delay: DelayEstimator,
     /// Slices served by other nodes: the request and the index of the slice in it.
     delegated_slices: BTreeMap<SliceId, (CallerId, usize)>,
     /// Slices served by this node, by coordinator.
@@ -101,7 +101,7 @@
             attempts: BTreeMap::new(),
             cancellations: BTreeSet::new(),
             next_attempt: 0,
-            answer_delay: AnswerDelay::default(),
+            answer_delay: DelayEstimator::default(),
             delegated_slices: BTreeMap::new(),
             served_slices: BTreeMap::new(),
             next_slice_caller: 0,
@@ -114,8 +114,8 @@
     }
 
     /// Records how long an answer was queued after its decision.
-    pub(super) fn observe_answer_delay(&mut self, by: Duration) {
-        self.answer_delay.observe(by);
+    pub(super) fn observe_answer_delay(&mut self, delay: Duration) {
+        self.answer_delay.observe(delay);
     }
 
     /// Number of unanswered requests.
@@ -342,8 +342,8 @@
     }
 }
 
-/// Why a request is refused at once: too few of its services have a registered server. A caller's
-/// retry waits for servers to register, except in evacuated zones.
+/// Reason to refuse a request at once, if too few of its services have a registered server. A
+/// caller's retry waits for servers to register, except in evacuated zones.
 fn unservable_reason(
     context: &Context<'_>,
     route: &ResolvedRoute,
--- a/crates/thornbridge-core/src/gateway/exchange/reports.rs
+++ b/crates/thornbridge-core/src/gateway/exchange/reports.rs
@@ -115,7 +115,7 @@
 
 /// Grants an owner all remaining attempts, or none if another owner may have used them.
 fn grant_attempts(context: &mut Context<'_>, request: &mut Request, sender: &Sender) {
-    let all = request.max_attempts;
+    let max_attempts = request.max_attempts;
     let slice = &mut request.slices[sender.index];
     let mut others = slice
         .delegations
@@ -123,7 +123,7 @@
         .filter(|delegation| delegation.id != sender.id);
     let sole_owner = others.all(|delegation| delegation.outcome == SliceOutcome::Refused);
     let attempts = match sole_owner {
-        true => 1 + all.saturating_sub(slice.granted_attempts),
+        true => 1 + max_attempts.saturating_sub(slice.granted_attempts),
         false => 1,
     };
     slice.granted_attempts += attempts - 1;
@@ -174,9 +174,7 @@
         let signature = Bytes::copy_from_slice(signature.as_slice());
         (index_in_request(*position), signature)
     });
-    let answered: Vec<(usize, Bytes)> = answered
-        .filter(|(position, _)| *position < shards.end)
-        .collect();
+    let answered: Vec<(usize, Bytes)> = answered.filter(|(index, _)| *index < shards.end).collect();
     if !answered.is_empty() {
         context
             .quarantine
@@ -200,9 +198,9 @@
     // One attempt is left per shard; any other owner may have used the rest.
     let prior_attempts = request.max_attempts.saturating_sub(1);
     for (position, failure) in report.failed {
-        let position = index_in_request(position);
-        let part = request.parts.get_mut(position);
-        if let Some(part) = part.filter(|part| position < shards.end && !part.is_finished()) {
+        let index = index_in_request(position);
+        let part = request.parts.get_mut(index);
+        if let Some(part) = part.filter(|part| index < shards.end && !part.is_finished()) {
             part.apply_owner_failure(failure, prior_attempts);
         }
     }
--- a/crates/thornbridge-core/src/gateway/handling.rs
+++ b/crates/thornbridge-core/src/gateway/handling.rs
@@ -249,7 +249,7 @@
         self.with_membership(Membership::leave);
     }
 
-    /// Activates a staged configuration, routes waiting requests and updates readiness.
+    /// Activates a staged configuration, routes pending requests and updates readiness.
     fn finish_event(&mut self) {
         self.update_reader_role();
         if self.staged_is_ready() {
--- a/crates/thornbridge-core/src/gateway/parameters.rs
+++ b/crates/thornbridge-core/src/gateway/parameters.rs
@@ -19,8 +19,8 @@
     pub coalescing: Duration,
     /// Timeout of a list, and of a watch beyond its wait.
     pub read_timeout: Duration,
-    /// Initial timeout of lists, doubled after every second failure up to `read_timeout`. Short, so
-    /// that a connection opened while the store was down is soon replaced.
+    /// Initial timeout of lists, doubled after several failures in a row up to `read_timeout`.
+    /// Short, so that a connection opened while the store was down is soon replaced.
     pub first_read_timeout: Duration,
     /// Initial backoff after a failed read, doubled with each further failure.
     pub first_backoff: Duration,
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -42,7 +42,7 @@
 use thornbridge_proto::peer::quarantine::CrashRecord;
 
 /// Maximum number of instances in a record: required crashes, canaries and some slack.
-const INSTANCES_KEPT: usize = 8;
+const MAX_INSTANCES_PER_RECORD: usize = 8;
 
 /// To how many servers a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -169,7 +169,7 @@
         let Some(record) = self.record_for_crash(now, now, fingerprint) else {
             return;
         };
-        if !record.add(instance, INSTANCES_KEPT) {
+        if !record.add(instance, MAX_INSTANCES_PER_RECORD) {
             return;
         }
         record.changed_at = now;
@@ -230,7 +230,7 @@
         };
         let already_quarantined = record.stage.has_enough_crashes();
         for instance in &received.instances {
-            if record.add(instance, INSTANCES_KEPT) {
+            if record.add(instance, MAX_INSTANCES_PER_RECORD) {
                 record.changed_at = record.changed_at.max(now - age);
             }
         }
--- a/crates/thornbridge-core/src/gateway/quarantine/recently_answered.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/recently_answered.rs
@@ -9,7 +9,7 @@
 use thornbridge_proto::fingerprint::Fingerprint;
 
 /// Maximum number of requests per generation.
-const REQUESTS_MAXIMUM: usize = 2_048;
+const MAX_REQUESTS_PER_GENERATION: usize = 2_048;
 
 /// Answered requests in two generations; rotation drops the older one.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
 impl RecentlyAnswered {
     /// Records that a server answered a request.
     pub(super) fn add(&mut self, now: Timestamp, fingerprint: Fingerprint, lifetime: Duration) {
-        let full = self.current.len() >= REQUESTS_MAXIMUM;
+        let full = self.current.len() >= MAX_REQUESTS_PER_GENERATION;
         if full || now.since(self.rotated_at) >= lifetime {
             self.previous = std::mem::take(&mut self.current);
             self.rotated_at = now;
--- a/crates/thornbridge-core/src/gateway/servers/connections.rs
+++ b/crates/thornbridge-core/src/gateway/servers/connections.rs
@@ -260,7 +260,7 @@
         let Some(server) = self.servers.get_mut(&key) else {
             return;
         };
-        server.consecutive_refusals = 0;
+        server.consecutive_connect_failures = 0;
         let spare = server.open > 1 || !server.in_subset;
         let idle_limit = match spare {
             _ if scarce => self.parameters.scarce_idle_time,
--- a/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
+++ b/crates/thornbridge-core/src/gateway/servers/lifecycle.rs
@@ -120,7 +120,7 @@
                 true => parameters.refused_pause_maximum,
                 false => parameters.reconnect_pause_maximum,
             };
-            server.connection_refused(now, parameters.reconnect_pause, longest);
+            server.connect_failed(now, parameters.reconnect_pause, longest);
         }
         Some((entry.server, loss))
     }
--- a/crates/thornbridge-core/src/gateway/servers/server.rs
+++ b/crates/thornbridge-core/src/gateway/servers/server.rs
@@ -62,7 +62,7 @@
 }
 
 impl Availability {
-    /// Name for logs.
+    /// Label for logs.
     pub(in crate::gateway) fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -122,8 +122,8 @@
     pub(in crate::gateway) opening: u32,
     /// Earliest time to open another connection.
     pub(in crate::gateway) reconnect_at: Timestamp,
-    /// Consecutive connections that could not be opened or were closed before they carried an answer.
-    pub(super) consecutive_refusals: u32,
+    /// Connections in a row that could not be opened or were closed before they carried an answer.
+    pub(super) consecutive_connect_failures: u32,
     /// Whether the log last reported the server as avoided.
     pub(in crate::gateway) avoided: bool,
     cold_until: Timestamp,
@@ -163,7 +163,7 @@
             open: 0,
             opening: 0,
             reconnect_at: now,
-            consecutive_refusals: 0,
+            consecutive_connect_failures: 0,
             avoided: false,
             cold_until: now + Duration::from_millis(u64::from(instance.cold_milliseconds)),
             round_trip: None,
@@ -282,16 +282,11 @@
         self.failure_cost_s = (before + cost.as_secs_f64(), now);
     }
 
-    /// Records a connection that was refused or closed before it carried an answer; doubles the
-    /// backoff from `first` up to `longest`.
-    pub(super) fn connection_refused(
-        &mut self,
-        now: Timestamp,
-        first: Duration,
-        longest: Duration,
-    ) {
-        let doublings = self.consecutive_refusals.min(MAX_BACKOFF_DOUBLINGS);
-        self.consecutive_refusals += 1;
+    /// Records a connection that could not be opened or was closed before it carried an answer;
+    /// doubles the backoff from `first` up to `longest`.
+    pub(super) fn connect_failed(&mut self, now: Timestamp, first: Duration, longest: Duration) {
+        let doublings = self.consecutive_connect_failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.consecutive_connect_failures += 1;
         let backoff = first * 2_u32.pow(doublings);
         self.reconnect_at = now + backoff.min(longest);
     }
@@ -368,8 +363,8 @@
         self.open.saturating_sub(dead)
     }
 
-    /// Whether an idle connection may be dead: it has been idle since before an attempt was sent whose
-    /// connection may be dead, so that the same fault may have affected both.
+    /// Whether an idle connection may be dead: a stalled attempt was sent after the connection became
+    /// idle, so that one fault may have broken both connections.
     pub(super) fn may_be_dead(
         &self,
         parameters: &ServerParameters,
--- a/crates/thornbridge-core/src/gateway/slices/mod.rs
+++ b/crates/thornbridge-core/src/gateway/slices/mod.rs
@@ -1,10 +1,10 @@
 //! Division of gathers over many shards among nodes.
 //!
-//! Such a gather is too much work for one small node: its parts queue for the processor, and a node
-//! that serves few gathers has neither open connections nor current statistics of the servers.
-//! Shards are therefore grouped, and each group is owned by a few members. The coordinator, the
-//! node of the caller, delegates each group to one owner. Owners see the traffic of all callers for
-//! their shards, which keeps connections in use and statistics current.
+//! A gather over many shards is too much work for one small node: its parts queue for the processor,
+//! and a node that serves few gathers has neither open connections nor current statistics of the
+//! servers. Shards are therefore grouped, and each group is owned by a few members. The coordinator,
+//! the node of the caller, delegates each group to one owner. Owners see the traffic of all callers
+//! for their shards, which keeps connections in use and statistics current.
 //!
 //! A gather that is cheaper undivided is not divided, and owners that do not answer are avoided for
 //! a while.
@@ -17,7 +17,7 @@
 pub(super) use assignment::rank;
 pub(super) use plan::{Group, Ownership, Plan};
 
-use super::exchange::AnswerDelay;
+use super::exchange::DelayEstimator;
 use super::parameters::SliceParameters;
 use super::routes::RouteKey;
 use super::servers::{MemberLocation, Placement};
@@ -57,7 +57,7 @@
     /// Decayed queue length of owners in parts, as of a time.
     owner_queues: BTreeMap<SocketAddr, (f64, Timestamp)>,
     /// Latency of slices beyond the time that their owners report.
-    overhead: AnswerDelay,
+    overhead: DelayEstimator,
     /// When a message was last sent to each owner.
     last_sent: BTreeMap<SocketAddr, Timestamp>,
     /// When a message of each member was last received.
@@ -84,7 +84,7 @@
             plans: BTreeMap::new(),
             failures: BTreeMap::new(),
             owner_queues: BTreeMap::new(),
-            overhead: AnswerDelay::default(),
+            overhead: DelayEstimator::default(),
             last_sent: BTreeMap::new(),
             last_received: BTreeMap::new(),
             next_slice_id: first_slice,
@@ -127,7 +127,7 @@
         Some(self.last_suspension)
     }
 
-    /// Ends the backoff of suspensions after a gather that most owners answered.
+    /// Resets the backoff of suspensions after a gather that most owners answered.
     pub(super) fn reset_division_backoff(&mut self) {
         self.last_suspension = Duration::ZERO;
     }
@@ -168,25 +168,26 @@
         SliceId(self.next_slice_id)
     }
 
-    /// Next owner to delegate a group to: the preferred owner without recent failures, or on a
-    /// further try the one that sent a message last; otherwise the owner with the fewest failures.
+    /// Next owner to delegate a group to: the preferred owner without recent failures, or for a
+    /// slice delegated before the one that sent a message last; otherwise the owner with the
+    /// fewest failures.
     pub(super) fn choose_owner(
         &self,
         now: Timestamp,
         group: &Group,
-        already_tried: &[SocketAddr],
+        already_delegated: &[SocketAddr],
     ) -> Option<SocketAddr> {
         let others = group.owners.iter().copied();
         let others: Vec<SocketAddr> = others
-            .filter(|owner| !already_tried.contains(owner))
+            .filter(|owner| !already_delegated.contains(owner))
             .collect();
-        let trusted = others
+        let not_avoided = others
             .iter()
             .filter(|owner| self.decayed_failures(now, **owner) < AVOIDED_FAILURE_COUNT);
-        let trusted = match already_tried.is_empty() {
-            true => self.least_loaded_owner(now, trusted),
+        let preferred = match already_delegated.is_empty() {
+            true => self.least_loaded_owner(now, not_avoided),
             // Silence of one owner makes silence of others likely.
-            false => trusted.max_by_key(|owner| self.last_received.get(*owner)),
+            false => not_avoided.max_by_key(|owner| self.last_received.get(*owner)),
         };
         let least_failed = || {
             let by_failures = |left: &&SocketAddr, right: &&SocketAddr| {
@@ -195,7 +196,7 @@
             };
             others.iter().min_by(by_failures)
         };
-        trusted.or_else(least_failed).copied()
+        preferred.or_else(least_failed).copied()
     }
 
     /// The first owner, or if it is busy the one with the shortest queue. Zones have equally many
--- a/crates/thornbridge-core/src/gateway/slices/plan.rs
+++ b/crates/thornbridge-core/src/gateway/slices/plan.rs
@@ -21,7 +21,7 @@
 pub(in crate::gateway) struct Group {
     /// Indices into the gather's shards.
     pub(in crate::gateway) shards: Range<usize>,
-    /// Owners other than this node, in order of preference.
+    /// Owners in order of preference; in a plan, this node only if there is no other.
     pub(in crate::gateway) owners: Vec<SocketAddr>,
 }
 
--- a/crates/thornbridge-core/src/gateway/telemetry.rs
+++ b/crates/thornbridge-core/src/gateway/telemetry.rs
@@ -311,13 +311,13 @@
         /// Time since the store last confirmed the views; `None` if it never did.
         age: Option<Duration>,
     },
-    /// Most slice owners of a gather were silent; this node suspends slicing for a while.
+    /// Most slice owners of a gather were silent; this node suspends division for a while.
     OwnersSilent {
         /// Number of owners that did not report in time.
         silent: usize,
         /// Number of slices of the gather.
         slices: usize,
-        /// How long gathers are not sliced.
+        /// How long gathers are not divided.
         duration: Duration,
     },
     /// A request was suspected of crashing servers, quarantined or cleared.
--- a/crates/thornbridge-core/src/gateway/tests/delays.rs
+++ b/crates/thornbridge-core/src/gateway/tests/delays.rs
@@ -1,19 +1,19 @@
 //! Observed answer delays move the soft deadline forward.
 
 use super::support::{Harness, answer, gather, millis, route};
-use crate::gateway::exchange::AnswerDelay;
+use crate::gateway::exchange::DelayEstimator;
 use crate::gateway::{GatewayAnswer, GatewayEvent};
 use std::time::Duration;
 use thornbridge_config::routes::Repeatability;
 
 #[test]
 fn reserve_is_zero_before_first_observation() {
-    assert_eq!(AnswerDelay::default().reserve(), Duration::ZERO);
+    assert_eq!(DelayEstimator::default().reserve(), Duration::ZERO);
 }
 
 #[test]
 fn reserve_of_steady_delay_is_close_to_mean() {
-    let mut delay = AnswerDelay::default();
+    let mut delay = DelayEstimator::default();
     for _ in 0..200 {
         delay.observe(millis(6));
     }
@@ -24,7 +24,7 @@
 
 #[test]
 fn reserve_of_varying_delay_includes_deviation() {
-    let mut delay = AnswerDelay::default();
+    let mut delay = DelayEstimator::default();
     for round in 0..200 {
         delay.observe(millis(2 + 8 * (round % 2)));
     }
--- a/crates/thornbridge-core/src/gateway/tests/slices.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slices.rs
@@ -72,7 +72,7 @@
     let tasks = std::mem::take(&mut harness.tasks);
     report_all(&mut harness, &tasks[1..]);
     harness.advance(Duration::from_micros(tasks[0].1.second_after_us) + millis(1));
-    // With its grant, the owner may have sent the second attempts by now.
+    // The owner may have used its grant to send the second attempts.
     let (address, task) = tasks[0].clone();
     let partial_report = report_of(&task, 0..1, b'1');
     report_and_request(&mut harness, address, &task, partial_report);
@@ -324,7 +324,7 @@
     report(&mut harness, busy, &task, partial_report);
     let (other, _) = first_owner(&mut harness);
     assert_ne!(other, busy);
-    // Shorter than the failure detection of peers that answer no probe.
+    // Ends before this node marks the peers as failed, which answer no probes.
     harness.advance(millis(200));
     let (again, _) = first_owner(&mut harness);
     assert_eq!(again, busy);
--- a/crates/thornbridge-core/src/gateway/tests/support.rs
+++ b/crates/thornbridge-core/src/gateway/tests/support.rs
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Adds peers and sets the processor share, so that gathers are sliced; the budget of extra
+    /// Adds peers and sets the processor share, so that gathers are divided; the budget of extra
     /// attempts is large.
     pub fn join_peers_with_processor_share(&mut self, processor_share: f64, peers: u8) {
         let mut parameters = GatewayParameters::default();
--- a/crates/thornbridge-core/src/gateway/tests/zone_peers.rs
+++ b/crates/thornbridge-core/src/gateway/tests/zone_peers.rs
@@ -69,7 +69,7 @@
     let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..20 {
-        let local = peers.any_local(&mut random).unwrap();
+        let local = peers.choose_local(&mut random).unwrap();
         assert!(peers.is_nearest(local));
     }
     let others = peers.one_per_remote_zone(&mut random);
@@ -83,10 +83,10 @@
     let peers = ZonePeers::new(&order[0], order.iter().cloned());
     let mut random = Pcg64Mcg::seed_from_u64(1);
     assert!(peers.is_nearest(order[1].address));
-    assert!(peers.any_local(&mut random).is_some());
+    assert!(peers.choose_local(&mut random).is_some());
     let without_peers = ZonePeers::new(&order[0], order[..1].iter().cloned());
     assert!(without_peers.is_empty());
-    assert_eq!(without_peers.any(&mut random), None);
+    assert_eq!(without_peers.choose_any(&mut random), None);
 }
 
 /// Guards against a division by zero relays: a leaving node is not in the reader order.
--- a/crates/thornbridge-core/src/gateway/views/gossip.rs
+++ b/crates/thornbridge-core/src/gateway/views/gossip.rs
@@ -105,8 +105,8 @@
     fn draw(&mut self, random: &mut Pcg64Mcg) -> Option<SocketAddr> {
         self.draws = self.draws.wrapping_add(1);
         match self.draws.is_multiple_of(DRAWS_PER_REMOTE_PEER) {
-            true => self.peers.any(random),
-            false => self.peers.any_local(random),
+            true => self.peers.choose_any(random),
+            false => self.peers.choose_local(random),
         }
     }
 
--- a/crates/thornbridge-core/src/gateway/views/source.rs
+++ b/crates/thornbridge-core/src/gateway/views/source.rs
@@ -296,11 +296,11 @@
         self.reachable = false;
         // A list restarts from its first page; a watch resumes from its revision.
         self.discard_pages();
-        let pause = self
+        let backoff = self
             .max_backoff()
             .mul_f64(random.random_range(self.min_backoff_share()..=1.0));
         self.consecutive_failures += 1;
-        self.state = ReaderState::Pausing(now + pause);
+        self.state = ReaderState::Pausing(now + backoff);
     }
 
     fn discard_pages(&mut self) {
@@ -313,12 +313,12 @@
     fn max_backoff(&self) -> Duration {
         let parameters = &self.parameters;
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
-        let pause = match self.revision {
+        let backoff = match self.revision {
             None => parameters.unknown_backoff,
             Some(_) => parameters.first_backoff * 2_u32.pow(doublings),
         };
-        let pause = pause.min(parameters.longest_backoff);
-        pause.mul_f64(1.0 + self.rank as f64 / RANKS_PER_BACKOFF_UNIT)
+        let backoff = backoff.min(parameters.longest_backoff);
+        backoff.mul_f64(1.0 + self.rank as f64 / RANKS_PER_BACKOFF_UNIT)
     }
 
     /// Minimum jitter factor.
--- a/crates/thornbridge-core/src/gateway/views/zone_peers.rs
+++ b/crates/thornbridge-core/src/gateway/views/zone_peers.rs
@@ -63,13 +63,13 @@
     }
 
     /// Random peer of this node's zone, or of any zone if that has none.
-    pub(in crate::gateway) fn any_local(&self, random: &mut impl Rng) -> Option<SocketAddr> {
+    pub(in crate::gateway) fn choose_local(&self, random: &mut impl Rng) -> Option<SocketAddr> {
         let local = self.local.choose(random).copied();
-        local.or_else(|| self.any(random))
+        local.or_else(|| self.choose_any(random))
     }
 
     /// Random peer of any zone.
-    pub(in crate::gateway) fn any(&self, random: &mut impl Rng) -> Option<SocketAddr> {
+    pub(in crate::gateway) fn choose_any(&self, random: &mut impl Rng) -> Option<SocketAddr> {
         let zones = || std::iter::once(&self.local).chain(&self.remote_zones);
         let count: usize = zones().map(Vec::len).sum();
         let index = (count > 0).then(|| random.random_range(0..count))?;
