--- a/crates/thornbridge-core/src/action/tests/cluster.rs
+++ b/crates/thornbridge-core/src/action/tests/cluster.rs
@@ -548,11 +548,11 @@
         }
         self.signals.clear();
         let last = &mut self.last_operation;
-        let asked = self.engine.poll_platform_request(|| {
+        let polled = self.engine.poll_platform_request(|| {
             *last += 1;
             OperationId(*last)
         });
-        if let Some((operation, request)) = asked {
+        if let Some((operation, request)) = polled {
             self.actions
                 .push_back(Action::Platform { operation, request });
         }
--- a/crates/thornbridge-core/src/lease/reader_leases.rs
+++ b/crates/thornbridge-core/src/lease/reader_leases.rs
@@ -32,12 +32,15 @@
     /// Whether the node has seeds, and so waits for peers before it becomes a candidate.
     has_seeds: bool,
     leases: Vec<Lease>,
+    /// Request in flight of each lease.
     operations: Vec<Option<OperationId>>,
     ranking: Vec<PeerEndpoint>,
     view: Option<Arc<MemberView>>,
     leaving: bool,
     started_at: Option<Timestamp>,
+    /// Last contact of this node or a peer with the platform.
     last_contact: Option<Timestamp>,
+    /// Position of the lease that was last reported as held.
     reported_held: Option<usize>,
     counters: LeaseCounters,
 }
@@ -84,7 +87,7 @@
 
     /// Status of the leases that this node has read or held.
     pub fn statuses(&self, now: Timestamp) -> Vec<LeaseStatus> {
-        let seen = |lease: &Lease| {
+        let status = |lease: &Lease| {
             let (holder, token) = lease.last_seen()?;
             Some(LeaseStatus {
                 name: lease.name().to_owned(),
@@ -93,7 +96,7 @@
                 fencing_token: token.0,
             })
         };
-        self.leases.iter().filter_map(seen).collect()
+        self.leases.iter().filter_map(status).collect()
     }
 
     /// Next nodes in the ranking, which become candidates when the readers cannot reach the
