--- a/crates/thornbridge-rehearsal/benches/fleet.rs
+++ b/crates/thornbridge-rehearsal/benches/fleet.rs
@@ -39,7 +39,7 @@
         over_limit,
         store_calls,
         peer_messages,
-        longest_in_force,
+        longest_activation,
         longest_leaving_known,
         ..
     } = report;
@@ -47,7 +47,7 @@
         "{nodes} nodes: {opened} connections opened, {over_limit} reset, {store_calls} calls to the store, {peer_messages} messages"
     );
     println!(
-        "  a version in force everywhere after {longest_in_force:?}, a leaving server known after {longest_leaving_known:?}"
+        "  a version in force everywhere after {longest_activation:?}, a leaving server known after {longest_leaving_known:?}"
     );
     for span in [Span::Zone, Span::Zones, Span::Regions] {
         let bytes = TOPICS.map(|topic| (topic, report.bytes_across(span, &[topic])));
--- a/crates/thornbridge-rehearsal/src/gateway/report.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/report.rs
@@ -78,7 +78,7 @@
     /// Bytes of messages between nodes, as they are encoded.
     pub peer_bytes: BTreeMap<(Span, PeerTopic), u64>,
     /// Longest time from a version's acknowledgement until a node had it in force.
-    pub longest_in_force: Duration,
+    pub longest_activation: Duration,
     /// Longest time from the moment that a server said it leaves until a node knew.
     pub longest_leaving_known: Duration,
     /// Rules that were broken.
--- a/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
+++ b/crates/thornbridge-rehearsal/src/gateway/world/handling.rs
@@ -95,7 +95,7 @@
             }
             GatewayAction::SetReady { ready } => self.machines[node].ready = ready,
             GatewayAction::Changed(GatewayChange::ConfigurationActivated { version, .. }) => {
-                self.in_force(node, version.0);
+                self.configuration_activated(node, version.0);
             }
             GatewayAction::Changed(GatewayChange::Instance { id, state, .. }) => {
                 self.instance_known(&id, state);
@@ -113,7 +113,7 @@
         adopted.or(own)
     }
 
-    fn in_force(&mut self, node: usize, version: u64) {
+    fn configuration_activated(&mut self, node: usize, version: u64) {
         let seen = self.machines[node].version_seen;
         if version <= seen {
             let detail = format!("node {node} went from {seen} to {version}");
@@ -126,7 +126,7 @@
         // Nodes that start learn what is there already.
         let later = found.filter(|(at, _)| *at > started);
         let took = later.map_or(Duration::ZERO, |(at, _)| self.now.since(*at));
-        let longest = &mut self.report.longest_in_force;
+        let longest = &mut self.report.longest_activation;
         *longest = took.max(*longest);
     }
 
--- a/crates/thornbridge-rehearsal/src/oracle/configuration.rs
+++ b/crates/thornbridge-rehearsal/src/oracle/configuration.rs
@@ -8,7 +8,7 @@
 use thornbridge_proto::{BundleVersion, Digest, Generation};
 
 /// Time in which a generation is in force on every node that can be reached.
-pub const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
+pub const ACTIVATION_LIMIT: Duration = Duration::from_secs(4);
 
 /// A node as the configuration's spread sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     }
 
     /// A generation is in force on a run of a node.
-    pub fn in_force(
+    pub fn generation_activated(
         &mut self,
         now: Timestamp,
         node: usize,
@@ -121,7 +121,7 @@
         self.configuration.node(node, reach.run).generation = Some(generation);
         let rises = earlier.is_none_or(|earlier| earlier < generation);
         self.log.check(
-            Invariant::ConfigurationInForceAndMonotonic,
+            Invariant::ConfigurationActiveAndMonotonic,
             now,
             rises,
             || format!("node {node} went from generation {earlier:?} to {generation}"),
@@ -148,19 +148,19 @@
         else {
             return;
         };
-        if now.since(reachable.max(since)) < IN_FORCE_LIMIT {
+        if now.since(reachable.max(since)) < ACTIVATION_LIMIT {
             return;
         }
         let held = self.configuration.node(node, reach.run).generation;
         let holds = held.is_some_and(|held| held >= generation);
         self.log.check(
-            Invariant::ConfigurationInForceAndMonotonic,
+            Invariant::ConfigurationActiveAndMonotonic,
             now,
             holds,
             || {
                 format!(
                     "node {node} has generation {held:?} in force, though {generation} took \
-                     effect more than {IN_FORCE_LIMIT:?} ago and it can be reached since {reachable:?}"
+                     effect more than {ACTIVATION_LIMIT:?} ago and it can be reached since {reachable:?}"
                 )
             },
         );
--- a/crates/thornbridge-rehearsal/src/oracle/invariant.rs
+++ b/crates/thornbridge-rehearsal/src/oracle/invariant.rs
@@ -24,7 +24,8 @@
     PlannedStopCutsNothing,
     /// A generation that took effect is in force on every live node within seconds, and no
     /// node's generation ever falls.
-    ConfigurationInForceAndMonotonic,
+    #[serde(rename = "configuration_in_force_and_monotonic")]
+    ConfigurationActiveAndMonotonic,
     /// A generation stands for one version and digest everywhere, one that was approved.
     OneApprovedVersion,
 }
@@ -39,7 +40,7 @@
         Self::AtMostOnce,
         Self::LeavingGetsNoNewWork,
         Self::PlannedStopCutsNothing,
-        Self::ConfigurationInForceAndMonotonic,
+        Self::ConfigurationActiveAndMonotonic,
         Self::OneApprovedVersion,
     ];
 
@@ -53,7 +54,7 @@
             Self::AtMostOnce => "at_most_once",
             Self::LeavingGetsNoNewWork => "leaving_gets_no_new_work",
             Self::PlannedStopCutsNothing => "planned_stop_cuts_nothing",
-            Self::ConfigurationInForceAndMonotonic => "configuration_in_force_and_monotonic",
+            Self::ConfigurationActiveAndMonotonic => "configuration_in_force_and_monotonic",
             Self::OneApprovedVersion => "one_approved_version",
         }
     }
--- a/crates/thornbridge-rehearsal/src/simulator/node_actions.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/node_actions.rs
@@ -302,10 +302,11 @@
             self.hosts[node].generation = Some(generation);
             let reach = self.reach(node);
             self.oracle
-                .in_force(self.now, node, reach, generation, &version);
+                .generation_activated(self.now, node, reach, generation, &version);
             if self.setup.sabotage == Some(Sabotage::RevertConfiguration) && generation.0 > 1 {
                 let older = thornbridge_proto::Generation(generation.0 - 1);
-                self.oracle.in_force(self.now, node, reach, older, &version);
+                self.oracle
+                    .generation_activated(self.now, node, reach, older, &version);
             }
         }
     }
--- a/crates/thornbridge-rehearsal/src/simulator/tests.rs
+++ b/crates/thornbridge-rehearsal/src/simulator/tests.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_falling_generation_is_found() {
-    let invariant = Invariant::ConfigurationInForceAndMonotonic;
+    let invariant = Invariant::ConfigurationActiveAndMonotonic;
     assert_found(Sabotage::RevertConfiguration, invariant, &[]);
 }
 
--- a/crates/thornbridge/src/commands/rollout/wait.rs
+++ b/crates/thornbridge/src/commands/rollout/wait.rs
@@ -64,7 +64,7 @@
         if waited.pending.is_empty() {
             Ok(())
         } else {
-            Err(CommandError::NotInForce {
+            Err(CommandError::NotActive {
                 generation,
                 pending: waited.pending,
                 limit,
--- a/crates/thornbridge/src/demo/deployment.rs
+++ b/crates/thornbridge/src/demo/deployment.rs
@@ -155,7 +155,7 @@
     }
 
     /// Time until all nodes have a generation in force; absent when they have not in time.
-    pub async fn in_force_everywhere(&self, generation: Generation) -> Option<Duration> {
+    pub async fn active_everywhere(&self, generation: Generation) -> Option<Duration> {
         let started = Instant::now();
         let addresses: Vec<SocketAddr> = self
             .nodes
--- a/crates/thornbridge/src/demo/steps.rs
+++ b/crates/thornbridge/src/demo/steps.rs
@@ -45,7 +45,7 @@
     let started = Instant::now();
     let version = deployment.bundle.version.clone();
     let generation = deployment.roll_out(version.clone(), expected).await?;
-    let everywhere = deployment.in_force_everywhere(generation).await;
+    let everywhere = deployment.active_everywhere(generation).await;
     let measured = RolloutMeasured {
         version,
         generation,
--- a/crates/thornbridge/src/error.rs
+++ b/crates/thornbridge/src/error.rs
@@ -208,7 +208,7 @@
         humantime::format_duration(*limit),
         pending.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
     ))]
-    NotInForce {
+    NotActive {
         /// Generation waited for.
         generation: Generation,
         /// Nodes that have not got it.
