--- a/crates/thornbridge-core/src/configuration/active.rs
+++ b/crates/thornbridge-core/src/configuration/active.rs
@@ -54,7 +54,7 @@
     pub summary: GenerationSummary,
     /// The bundle; services, back ends and layouts are sorted by name, the same on every node.
     pub bundle: Bundle,
-    /// Canonical sections of the bundle, for deltas to peers.
+    /// Canonical sections of the bundle, for messages to peers.
     pub sections: SectionSet,
     services: HashMap<ServiceName, usize>,
     back_ends: HashMap<BackEndId, BackEnd>,
--- a/crates/thornbridge-core/src/configuration/gossip.rs
+++ b/crates/thornbridge-core/src/configuration/gossip.rs
@@ -34,7 +34,7 @@
     parameters: ConfigurationParameters,
     peers: Peers,
     standbys: Vec<SocketAddr>,
-    accepted_at: Timestamp,
+    activated_at: Timestamp,
     next_push_round: Option<usize>,
     next_anti_entropy: Timestamp,
     next_standby_announcement: Timestamp,
@@ -76,7 +76,7 @@
             parameters,
             peers: Peers::default(),
             standbys: Vec::new(),
-            accepted_at: Timestamp::ZERO,
+            activated_at: Timestamp::ZERO,
             next_push_round: None,
             next_anti_entropy: Timestamp::ZERO,
             next_standby_announcement: Timestamp::ZERO,
@@ -124,7 +124,7 @@
 
     /// Starts the announcement of an activated generation and ends its pull.
     pub(super) fn generation_activated(&mut self, now: Timestamp, generation: Generation) {
-        self.accepted_at = now;
+        self.activated_at = now;
         self.next_push_round = Some(0);
         let satisfied =
             |pull: &PendingPull| pull.generation.is_none_or(|least| least <= generation);
@@ -245,7 +245,7 @@
 
     fn next_push_at(&self) -> Option<Timestamp> {
         let after = self.parameters.push_rounds.get(self.next_push_round?)?;
-        Some(self.accepted_at + *after)
+        Some(self.activated_at + *after)
     }
 
     fn push(
--- a/crates/thornbridge-core/src/configuration/mod.rs
+++ b/crates/thornbridge-core/src/configuration/mod.rs
@@ -205,7 +205,7 @@
             ConfigurationMessage::Whole { record, sections } => {
                 let result = self.check_record(&record).and_then(|()| {
                     let sections = SectionSet::received(sections);
-                    self.register.accept_sections(record, sections)
+                    self.register.activate_sections(record, sections)
                 });
                 self.finish_activation(context, result);
             }
@@ -246,7 +246,7 @@
             Some(ReaderUpdate::Bundle(record, published)) => {
                 let result = self
                     .check_record(&record)
-                    .and_then(|()| self.register.accept_bundle(record, published.bundle));
+                    .and_then(|()| self.register.activate_bundle(record, published.bundle));
                 self.finish_activation(context, result);
             }
             Some(ReaderUpdate::Malformed(reason)) => self.reject_with_reason(context, reason),
@@ -320,7 +320,7 @@
         let generation = record.generation;
         let checked = self.check_record(&record);
         let valid = checked.is_ok();
-        let result = checked.and_then(|()| self.register.accept_delta(record, base, delta));
+        let result = checked.and_then(|()| self.register.apply_delta(record, base, delta));
         if valid && result.is_err() {
             self.counters.deltas_failed += 1;
             self.gossip.delta_failed(context.now, generation);
--- a/crates/thornbridge-core/src/configuration/register.rs
+++ b/crates/thornbridge-core/src/configuration/register.rs
@@ -120,7 +120,7 @@
     }
 
     /// Activates a published bundle. The record must have been checked.
-    pub(super) fn accept_bundle(
+    pub(super) fn activate_bundle(
         &mut self,
         record: GenerationRecord,
         bundle: Bundle,
@@ -132,7 +132,7 @@
     }
 
     /// Activates a bundle received from a peer. The record must have been checked.
-    pub(super) fn accept_sections(
+    pub(super) fn activate_sections(
         &mut self,
         record: GenerationRecord,
         sections: SectionSet,
@@ -144,7 +144,7 @@
     }
 
     /// Applies a delta to the active bundle. The record must have been checked.
-    pub(super) fn accept_delta(
+    pub(super) fn apply_delta(
         &mut self,
         record: GenerationRecord,
         base: Digest,
@@ -156,7 +156,7 @@
             return OtherBaseSnafu { generation }.fail();
         };
         let sections = known.sections.changed_by(delta);
-        self.accept_sections(record, sections)
+        self.activate_sections(record, sections)
     }
 
     fn install(&mut self, active: ActiveConfiguration) -> Arc<ActiveConfiguration> {
--- a/crates/thornbridge-core/src/operator/approve.rs
+++ b/crates/thornbridge-core/src/operator/approve.rs
@@ -24,7 +24,7 @@
     change: ChangeId,
     approval: Option<Approval>,
     stage: Stage,
-    in_doubt: bool,
+    outcome_unknown: bool,
 }
 
 impl Approve {
@@ -41,7 +41,7 @@
             change,
             approval: None,
             stage: Stage::ReadingBundle,
-            in_doubt: false,
+            outcome_unknown: false,
         }
     }
 
@@ -76,7 +76,7 @@
     fn read_back(&mut self, object: Option<StoredObject>) -> NextStep {
         match object {
             Some(object) if self.is_own(&object) => NextStep::done(Ok(self.outcome())),
-            Some(_) | None if self.in_doubt => NextStep::RetryRead,
+            Some(_) | None if self.outcome_unknown => NextStep::RetryRead,
             Some(object) => NextStep::done(Err(self.conflict_error(&object))),
             None => NextStep::RetryRead,
         }
@@ -169,7 +169,7 @@
             }
             Reply::Lost => {
                 self.stage = Stage::ReadingBack;
-                self.in_doubt = true;
+                self.outcome_unknown = true;
                 self.read_approval()
             }
         }
@@ -179,7 +179,7 @@
         &mut self,
         failure: &PlatformFailure,
     ) -> Result<OperatorOutcome, OperatorError> {
-        if self.in_doubt {
+        if self.outcome_unknown {
             return Err(OperatorError::OutcomeUnknown {
                 step: self.description(),
                 change: self.change.clone(),
--- a/crates/thornbridge-core/src/operator/exchange.rs
+++ b/crates/thornbridge-core/src/operator/exchange.rs
@@ -22,7 +22,7 @@
     Lost,
 }
 
-/// NextStep step of a flow.
+/// Next step of a flow.
 #[derive(Debug)]
 pub(super) enum NextStep {
     /// Send a request.
--- a/crates/thornbridge-core/src/operator/hold.rs
+++ b/crates/thornbridge-core/src/operator/hold.rs
@@ -13,7 +13,7 @@
     change: ChangeId,
     restarts: u32,
     base: Option<StoredRegister>,
-    in_doubt: bool,
+    outcome_unknown: bool,
 }
 
 impl HoldFlow {
@@ -23,7 +23,7 @@
             change,
             restarts,
             base: None,
-            in_doubt: false,
+            outcome_unknown: false,
         }
     }
 
@@ -42,7 +42,7 @@
                 reason: hold.reason.clone(),
             }));
         }
-        if self.in_doubt && self.unchanged(&stored) {
+        if self.outcome_unknown && self.unchanged(&stored) {
             return NextStep::RetryRead;
         }
         self.write(stored)
@@ -62,7 +62,7 @@
             }
             self.restarts -= 1;
         }
-        self.in_doubt = false;
+        self.outcome_unknown = false;
         let mut rollout = stored.rollout.clone();
         rollout.hold.clone_from(&self.hold);
         rollout.written_by = self.change.clone();
@@ -100,7 +100,7 @@
             Reply::Written => NextStep::done(Ok(self.outcome())),
             Reply::Conflict => register::read(),
             Reply::Lost => {
-                self.in_doubt = true;
+                self.outcome_unknown = true;
                 register::read()
             }
         }
@@ -110,7 +110,7 @@
         &mut self,
         failure: &PlatformFailure,
     ) -> Result<OperatorOutcome, OperatorError> {
-        if self.in_doubt {
+        if self.outcome_unknown {
             return Err(OperatorError::OutcomeUnknown {
                 step: self.description().to_owned(),
                 change: self.change.clone(),
--- a/crates/thornbridge-core/src/operator/publish.rs
+++ b/crates/thornbridge-core/src/operator/publish.rs
@@ -19,7 +19,7 @@
 pub(super) struct Publish {
     published: PublishedBundle,
     stage: Stage,
-    in_doubt: bool,
+    outcome_unknown: bool,
 }
 
 impl Publish {
@@ -31,7 +31,7 @@
                 change,
             },
             stage: Stage::Reading,
-            in_doubt: false,
+            outcome_unknown: false,
         }
     }
 
@@ -108,7 +108,7 @@
             }
             Reply::Lost => {
                 self.stage = Stage::ReadingBack;
-                self.in_doubt = true;
+                self.outcome_unknown = true;
                 self.read()
             }
         }
@@ -118,7 +118,7 @@
         &mut self,
         failure: &PlatformFailure,
     ) -> Result<OperatorOutcome, OperatorError> {
-        if self.in_doubt {
+        if self.outcome_unknown {
             return Err(OperatorError::OutcomeUnknown {
                 step: self.description(),
                 change: self.published.change.clone(),
--- a/crates/thornbridge-core/src/operator/rollout.rs
+++ b/crates/thornbridge-core/src/operator/rollout.rs
@@ -39,7 +39,7 @@
     approval: Option<(Approval, Vec<u8>)>,
     base: Option<StoredRegister>,
     own_rollout: Option<Rollout>,
-    in_doubt: bool,
+    outcome_unknown: bool,
 }
 
 impl RolloutFlow {
@@ -52,7 +52,7 @@
             approval: None,
             base: None,
             own_rollout: None,
-            in_doubt: false,
+            outcome_unknown: false,
         }
     }
 
@@ -185,10 +185,10 @@
         let own_generation = self.own_rollout().current.generation;
         let found = stored.rollout.current.generation;
         if found < own_generation {
-            self.in_doubt = false;
+            self.outcome_unknown = false;
             return self.restart();
         }
-        if found == own_generation || !self.in_doubt {
+        if found == own_generation || !self.outcome_unknown {
             return Err(lost_race(stored.rollout.history()));
         }
         self.stage = Stage::ResolvingFromHistory;
@@ -213,7 +213,7 @@
 
     /// Handles an unchanged register: a write whose reply was lost can still arrive.
     fn wait_or_restart(&mut self) -> NextStep {
-        if self.in_doubt {
+        if self.outcome_unknown {
             return NextStep::RetryRead;
         }
         self.restart()
@@ -230,7 +230,7 @@
     }
 
     fn write_own_entry(&mut self) -> NextStep {
-        self.in_doubt = false;
+        self.outcome_unknown = false;
         self.stage = Stage::WritingOwnEntry;
         write_entry(&self.own_rollout().history())
     }
@@ -275,7 +275,7 @@
         if matches!(reply, Reply::Written) {
             return self.write_own_entry();
         }
-        self.in_doubt = matches!(reply, Reply::Lost);
+        self.outcome_unknown = matches!(reply, Reply::Lost);
         self.stage = Stage::ResolvingSwap;
         register::read()
     }
@@ -338,7 +338,7 @@
             return Ok(self.outcome(false));
         }
         let step = format!("rolling out version {}", self.request.version);
-        if self.in_doubt {
+        if self.outcome_unknown {
             return Err(OperatorError::OutcomeUnknown {
                 step,
                 change: self.change.clone(),
--- a/crates/thornbridge-core/tests/control/operators.rs
+++ b/crates/thornbridge-core/tests/control/operators.rs
@@ -115,7 +115,7 @@
     session: OperatorSession,
     change: ChangeId,
     request: Option<PlatformRequest>,
-    in_doubt: Vec<PlatformRequest>,
+    writes_without_reply: Vec<PlatformRequest>,
     result: Option<Result<OperatorOutcome, OperatorErrorKind>>,
     crashed: bool,
 }
@@ -125,12 +125,12 @@
     /// have the same content from every writer.
     fn check_not_sent_again(&self, request: &PlatformRequest) {
         assert!(
-            !self.in_doubt.contains(request),
+            !self.writes_without_reply.contains(request),
             "sent again with an unknown outcome: {request:?}"
         );
     }
 
-    fn record_in_doubt(&mut self, request: &PlatformRequest, fault: Fault) {
+    fn record_write_without_reply(&mut self, request: &PlatformRequest, fault: Fault) {
         let no_reply = matches!(
             fault,
             Fault::RequestLost | Fault::ReplyLost | Fault::Delayed
@@ -140,7 +140,7 @@
             PlatformRequest::Put { kind, .. } if *kind != ObjectKind::History
         );
         if no_reply && is_guarded {
-            self.in_doubt.push(request.clone());
+            self.writes_without_reply.push(request.clone());
         }
     }
 }
@@ -188,7 +188,7 @@
             session: OperatorSession::new(command, change.clone()),
             change,
             request: None,
-            in_doubt: Vec::new(),
+            writes_without_reply: Vec::new(),
             result: None,
             crashed: false,
         });
@@ -244,7 +244,7 @@
         let request = running.request.take();
         if let Some(request) = &request {
             running.check_not_sent_again(request);
-            running.record_in_doubt(request, fault);
+            running.record_write_without_reply(request, fault);
         }
         let last = request.map(|request| match fault {
             Fault::None => self.store.apply(&request),
