--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -165,7 +165,7 @@
         fingerprint: Fingerprint,
         instance: &BackEndId,
     ) {
-        let needed = self.parameters.crashes;
+        let required = self.parameters.crashes;
         let Some(record) = self.record_for_crash(now, now, fingerprint) else {
             return;
         };
@@ -173,7 +173,7 @@
             return;
         }
         record.changed_at = now;
-        if record.stage == Stage::Suspected && record.instances.len() >= needed {
+        if record.stage == Stage::Suspected && record.instances.len() >= required {
             record.stage = Stage::Probing {
                 since: now,
                 canaries: 0,
@@ -224,7 +224,7 @@
             return;
         }
         let fingerprint = received.fingerprint;
-        let needed = self.parameters.crashes;
+        let required = self.parameters.crashes;
         let Some(record) = self.record_for_crash(now, now - age, fingerprint) else {
             return;
         };
@@ -236,13 +236,13 @@
         }
         // A probing stage on this node continues: its duration is bounded and an answer may clear
         // the request.
-        if record.stage == Stage::Suspected && record.instances.len() >= needed {
+        if record.stage == Stage::Suspected && record.instances.len() >= required {
             record.stage = Stage::Quarantined;
         }
         if already_quarantined || !record.stage.has_enough_crashes() {
             return;
         }
-        if received.instances.len() < needed {
+        if received.instances.len() < required {
             self.schedule_announcement(now + self.parameters.telling, fingerprint);
         } else {
             // The node that reached the decision announces it to all members.
--- a/crates/thornbridge-core/src/gateway/routes.rs
+++ b/crates/thornbridge-core/src/gateway/routes.rs
@@ -148,10 +148,10 @@
                 .iter()
                 .map(|shard| servers.service_key(shard))
                 .collect();
-            let least = gather.least_share * shards.len() as f64 - SHARE_TOLERANCE;
+            let required = gather.least_share * shards.len() as f64 - SHARE_TOLERANCE;
             ResolvedTarget::Gather(ResolvedGather {
                 records: gather.records,
-                min_parts: (least.ceil().max(1.0) as usize).min(shards.len()),
+                min_parts: (required.ceil().max(1.0) as usize).min(shards.len()),
                 shards,
             })
         }
--- a/crates/thornbridge-core/src/gateway/tests/slowdown.rs
+++ b/crates/thornbridge-core/src/gateway/tests/slowdown.rs
@@ -51,11 +51,11 @@
         Self { servers, key, now }
     }
 
-    fn observe(&mut self, after: Duration, took: Duration) {
+    fn observe(&mut self, after: Duration, processing_time: Duration) {
         self.now = self.now + after;
         let parameters = self.servers.parameters.clone();
         let server = self.servers.get_mut(self.key).unwrap();
-        server.observe_slowdown(&parameters, self.now, took, WORK);
+        server.observe_slowdown(&parameters, self.now, processing_time, WORK);
     }
 
     fn slowdown(&self) -> f64 {
