--- a/crates/thornbridge-core/src/action/planner.rs
+++ b/crates/thornbridge-core/src/action/planner.rs
@@ -1,6 +1,6 @@
-//! A caller's action is checked against the limits and given its shard.
+//! Planning of an action: validates the request and selects the shard.
 
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::planning::{PlanRefusal, check_timeout, find_service, refuse};
 use sha2::{Digest as _, Sha256};
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 use thornbridge_proto::limits::{CALLER_BODY_BYTES, IDEMPOTENCY_KEY_BYTES};
 use thornbridge_proto::{BackEndId, Digest, ServiceName, ShardId};
 
-/// What is to be run, and where.
+/// A validated action with its shard and replicas.
 #[derive(Debug)]
 pub(super) struct ActionPlan {
-    pub(super) in_force: Arc<InForce>,
+    pub(super) configuration: Arc<ActiveConfiguration>,
     pub(super) service: ServiceName,
     pub(super) shard: ShardId,
     pub(super) replicas: Vec<BackEndId>,
     pub(super) key_text: Arc<str>,
     pub(super) payload_text: Arc<str>,
-    /// Digest of service and key.
+    /// Digest of service name and idempotency key.
     pub(super) key: Digest,
     /// Digest of the payload.
     pub(super) payload: Digest,
     hard_deadline: Duration,
 }
 
-/// Plans an action under the configuration in force.
+/// Plans an action under the active configuration.
 pub(super) fn plan(
-    in_force: Option<&Arc<InForce>>,
+    active: Option<&Arc<ActiveConfiguration>>,
     request: &ActionRequest,
 ) -> Result<ActionPlan, PlanRefusal> {
-    let (in_force, service) = find_service(in_force, &request.service, ServiceKind::Action)?;
+    let (active, service) = find_service(active, &request.service, ServiceKind::Action)?;
     check_limits(request)?;
     let layout = service
         .snapshots
@@ -46,7 +46,7 @@
     let key = digest_of_key(&request.service, &request.key);
     let shard = shard_of(&key, layout.shards.len());
     Ok(ActionPlan {
-        in_force: Arc::clone(in_force),
+        configuration: Arc::clone(active),
         service: service.name.clone(),
         shard,
         replicas: layout.shards[shard.0 as usize].clone(),
@@ -59,29 +59,28 @@
 }
 
 impl ActionPlan {
-    /// Time until the caller gets its answer, whatever comes.
-    pub(super) fn time_allowed(&self, request: &ActionRequest) -> Duration {
-        let asked = request.timeout.unwrap_or(self.hard_deadline);
-        asked.min(self.hard_deadline)
+    /// Timeout of the request: the caller's, limited by the service's hard deadline.
+    pub(super) fn timeout(&self, request: &ActionRequest) -> Duration {
+        let requested = request.timeout.unwrap_or(self.hard_deadline);
+        requested.min(self.hard_deadline)
     }
 }
 
 fn check_limits(request: &ActionRequest) -> Result<(), PlanRefusal> {
     let length = request.key.len();
     if !(1..=IDEMPOTENCY_KEY_BYTES).contains(&length) {
-        let detail =
-            format!("the key has {length} bytes; 1 to {IDEMPOTENCY_KEY_BYTES} are allowed");
+        let detail = format!("key has {length} bytes; expected 1 to {IDEMPOTENCY_KEY_BYTES}");
         return refuse(RefusalReason::Invalid, detail);
     }
     let length = request.payload.len();
     if length > CALLER_BODY_BYTES {
-        let detail = format!("the payload has {length} bytes; the limit is {CALLER_BODY_BYTES}");
+        let detail = format!("payload has {length} bytes; the limit is {CALLER_BODY_BYTES}");
         return refuse(RefusalReason::Invalid, detail);
     }
     check_timeout(request.timeout)
 }
 
-/// The same key of two services is two actions.
+/// Hashes the service name with the key, since keys of different services are independent.
 fn digest_of_key(service: &ServiceName, key: &str) -> Digest {
     let mut hasher = Sha256::new();
     hasher.update((service.as_str().len() as u64).to_be_bytes());
--- a/crates/thornbridge-core/src/gateway/quarantine/mod.rs
+++ b/crates/thornbridge-core/src/gateway/quarantine/mod.rs
@@ -42,7 +42,7 @@
 use thornbridge_proto::peer::quarantine::CrashRecord;
 
 /// Maximum number of instances in a record: required crashes, canaries and some slack.
-const INSTANCES_KEPT: usize = 8;
+const MAX_INSTANCES_PER_RECORD: usize = 8;
 
 /// To how many servers a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -165,15 +165,15 @@
         fingerprint: Fingerprint,
         instance: &BackEndId,
     ) {
-        let needed = self.parameters.crashes;
+        let required = self.parameters.crashes;
         let Some(record) = self.record_for_crash(now, now, fingerprint) else {
             return;
         };
-        if !record.add(instance, INSTANCES_KEPT) {
+        if !record.add(instance, MAX_INSTANCES_PER_RECORD) {
             return;
         }
         record.changed_at = now;
-        if record.stage == Stage::Suspected && record.instances.len() >= needed {
+        if record.stage == Stage::Suspected && record.instances.len() >= required {
             record.stage = Stage::Probing {
                 since: now,
                 canaries: 0,
@@ -224,25 +224,25 @@
             return;
         }
         let fingerprint = received.fingerprint;
-        let needed = self.parameters.crashes;
+        let required = self.parameters.crashes;
         let Some(record) = self.record_for_crash(now, now - age, fingerprint) else {
             return;
         };
         let already_quarantined = record.stage.has_enough_crashes();
         for instance in &received.instances {
-            if record.add(instance, INSTANCES_KEPT) {
+            if record.add(instance, MAX_INSTANCES_PER_RECORD) {
                 record.changed_at = record.changed_at.max(now - age);
             }
         }
         // A probing stage on this node continues: its duration is bounded and an answer may clear
         // the request.
-        if record.stage == Stage::Suspected && record.instances.len() >= needed {
+        if record.stage == Stage::Suspected && record.instances.len() >= required {
             record.stage = Stage::Quarantined;
         }
         if already_quarantined || !record.stage.has_enough_crashes() {
             return;
         }
-        if received.instances.len() < needed {
+        if received.instances.len() < required {
             self.schedule_announcement(now + self.parameters.telling, fingerprint);
         } else {
             // The node that reached the decision announces it to all members.
--- a/crates/thornbridge-core/src/node.rs
+++ b/crates/thornbridge-core/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: composition only. Every decision is in the parts.
+//! The state machine of one node: passes events, signals and results between its parts.
 
 mod reporting;
 #[cfg(test)]
@@ -28,26 +28,26 @@
 use thornbridge_proto::peer::{PeerEndpoint, PeerMessage};
 use thornbridge_proto::{Incarnation, NodeName, RegionName, RequestId, ZoneName};
 
-/// What a node is told when it is made.
+/// Identity, peers and parameters of a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeSetup {
-    /// This run's identity and advertised peer address.
+    /// Node id of this run and advertised peer address.
     pub endpoint: PeerEndpoint,
-    /// Address for operators, told to the other members.
+    /// Address for operators, advertised to the other members.
     pub operator_address: SocketAddr,
-    /// Operator's name for it.
+    /// Name assigned by the operator.
     pub name: NodeName,
     /// Zone.
     pub zone: ZoneName,
     /// Region.
     pub region: RegionName,
-    /// Peers to join through.
+    /// Addresses of peers to join.
     pub seeds: Vec<SocketAddr>,
-    /// Keys that may approve bundles.
+    /// Keys whose signatures approve bundles.
     pub trusted_keys: Vec<TrustedKey>,
-    /// Seed of the node's random generator.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Tunable values.
+    /// Parameters of all modules.
     pub parameters: Parameters,
 }
 
@@ -58,7 +58,7 @@
     Stopped,
 }
 
-/// The composite state machine of one node.
+/// State machine of one node.
 #[derive(Debug)]
 pub struct Node {
     setup: NodeSetup,
@@ -78,7 +78,7 @@
 }
 
 impl Node {
-    /// A node that has not started: the first event must be [`Event::Started`].
+    /// Creates a node that has not started. The first event must be [`Event::Started`].
     pub fn new(setup: NodeSetup) -> Self {
         let own = MemberRecord {
             endpoint: setup.endpoint,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes one event. `now` must not go back.
+    /// Handles one event. `now` must not decrease.
     pub fn handle(&mut self, now: Timestamp, event: Event) {
         self.now = now;
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
@@ -142,9 +142,9 @@
                     refuse_leaving(context, caller, id);
                 }
             }
-            Event::CallerGone { caller } => {
-                if !self.queries.caller_gone(context, resources, caller) {
-                    self.action_engine.caller_gone(caller);
+            Event::CallerDisconnected { caller } => {
+                if !self.queries.caller_disconnected(context, resources, caller) {
+                    self.action_engine.caller_disconnected(caller);
                 }
             }
             Event::ConnectionOpened { connection } => {
@@ -158,16 +158,16 @@
                 reply,
                 load,
             } => {
-                let finished = self.router.replied(context, attempt, reply, load);
-                self.hand_over(now, finished);
+                let finished = self.router.attempt_replied(context, attempt, reply, load);
+                self.dispatch_finished(now, finished);
             }
             Event::AttemptFailed { attempt, failure } => {
-                let finished = self.router.failed(context, attempt, failure);
-                self.hand_over(now, finished);
+                let finished = self.router.attempt_failed(context, attempt, failure);
+                self.dispatch_finished(now, finished);
             }
             Event::ProbeReplied { back_end, report } => {
                 self.router.probe_replied(context, &back_end, &report);
-                self.queries.load_reported(&back_end, &report);
+                self.queries.apply_load_report(&back_end, &report);
                 let health = &mut self.control.health;
                 health.probe_replied(context, &back_end, &report);
             }
@@ -196,18 +196,18 @@
             }
             Event::WatchEnded { watch, end } => self.control.watch_ended(context, watch, end),
             Event::TimerDue => self.timer_due(now),
-            Event::StopAsked => self.stop_asked(now),
+            Event::StopRequested => self.stop_requested(now),
             Event::ClockJumped { .. } => self.control.clock_jumped(context),
         }
-        self.settle(now);
+        self.process_pending(now);
     }
 
-    /// The next thing to carry out; `None` when all is done.
+    /// Next action for the driver to execute; `None` if there is none.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// When [`Event::TimerDue`] is wanted, at the latest.
+    /// Time by which [`Event::TimerDue`] must be handled.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let timeouts = [
             self.control.next_timeout(),
@@ -238,7 +238,7 @@
         self.router.timer_due(&mut context);
     }
 
-    fn stop_asked(&mut self, now: Timestamp) {
+    fn stop_requested(&mut self, now: Timestamp) {
         if self.lifecycle != Lifecycle::Running {
             return;
         }
@@ -251,7 +251,11 @@
         }));
     }
 
-    fn hand_over(&mut self, now: Timestamp, finished: impl IntoIterator<Item = FinishedAttempt>) {
+    fn dispatch_finished(
+        &mut self,
+        now: Timestamp,
+        finished: impl IntoIterator<Item = FinishedAttempt>,
+    ) {
         for finished in finished {
             let mut context =
                 Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
@@ -273,21 +277,21 @@
         }
     }
 
-    /// Passes signals and releases on until there are none, then reports readiness and the end
-    /// of a stop.
-    fn settle(&mut self, now: Timestamp) {
+    /// Dispatches pending signals, finished attempts and releases until there are none, then
+    /// reports changes of readiness and the end of a planned stop.
+    fn process_pending(&mut self, now: Timestamp) {
         loop {
             if let Some(signal) = self.signals.pop_front() {
-                self.pass_on(now, signal);
+                self.dispatch_signal(now, signal);
             } else if let Some(finished) = self.router.poll_finished() {
-                self.hand_over(now, [finished]);
+                self.dispatch_finished(now, [finished]);
             } else if !self.released.is_empty() {
-                self.pass_release_on(now);
+                self.dispatch_release(now);
             } else {
                 break;
             }
         }
-        self.ask_platform_for_actions(now);
+        self.poll_action_platform_requests(now);
         let ready = self.readiness() == NodeReadiness::Ready;
         if ready != self.ready {
             self.ready = ready;
@@ -300,22 +304,23 @@
         }
     }
 
-    /// A node that reads the platform also sees to the claim group of actions.
-    fn ask_platform_for_actions(&mut self, now: Timestamp) {
-        let reading = self.control.readers.held(now).is_some();
-        self.action_engine.set_reading(now, reading);
+    /// Passes the lease state to the action engine and sends the engine's next request to the
+    /// platform.
+    fn poll_action_platform_requests(&mut self, now: Timestamp) {
+        let holds_lease = self.control.readers.held_token(now).is_some();
+        self.action_engine.set_platform_reader(now, holds_lease);
         let control = &mut self.control;
-        let asked = self
+        let request = self
             .action_engine
             .poll_platform_request(|| control.next_operation());
-        if let Some((operation, request)) = asked {
+        if let Some((operation, request)) = request {
             self.context(now)
                 .act(Action::Platform { operation, request });
         }
     }
 
-    /// Runs and refuses the requests whose turn or end has come.
-    fn pass_release_on(&mut self, now: Timestamp) {
+    /// Runs and refuses queued requests that the limits have released.
+    fn dispatch_release(&mut self, now: Timestamp) {
         let release = std::mem::take(&mut self.released);
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         let resources = &mut Resources {
@@ -332,23 +337,23 @@
         }
         for (request, refusal) in release.refuse {
             if self.queries.owns(request) {
-                self.queries.refuse_waiting(&mut context, request, refusal);
+                self.queries.refuse_queued(&mut context, request, refusal);
             } else {
                 self.action_engine
-                    .refuse_waiting(&mut context, request, refusal);
+                    .refuse_queued(&mut context, request, refusal);
             }
         }
     }
 
-    fn pass_on(&mut self, now: Timestamp, signal: Signal) {
+    fn dispatch_signal(&mut self, now: Timestamp, signal: Signal) {
         let mut context = Context::new(now, &mut self.random, &mut self.actions, &mut self.signals);
         match signal {
-            Signal::ConfigurationInForce(in_force) => {
-                self.router.install(&mut context, &in_force);
-                self.queries.install(&in_force);
-                self.control.health.install(&mut context, &in_force);
-                self.action_engine.install(&in_force);
-                let release = self.limits.install(&mut context, &in_force);
+            Signal::ConfigurationActivated(active) => {
+                self.router.install(&mut context, &active);
+                self.queries.install(&active);
+                self.control.health.install(&mut context, &active);
+                self.action_engine.install(&active);
+                let release = self.limits.install(&mut context, &active);
                 self.released.extend(release);
             }
             Signal::MembersChanged(view) => {
@@ -356,9 +361,9 @@
                 self.control.members_changed(&mut context, &view);
                 self.action_engine.members_changed(&view);
             }
-            Signal::BackEndHealth(record) => {
-                self.router.health_learnt(&mut context, &record);
-                self.queries.health_learnt(&record);
+            Signal::BackEndHealthUpdated(record) => {
+                self.router.apply_health_record(&mut context, &record);
+                self.queries.apply_health_record(&record);
             }
             Signal::BackEndObserved(record) => {
                 self.control.health.apply_observation(&mut context, &record);
@@ -373,7 +378,7 @@
         reason: RefusalReason::Leaving,
         executed: Executed::No,
         retry_after: Some(std::time::Duration::ZERO),
-        detail: "this node is stopping; ask another".to_owned(),
+        detail: "node is stopping; retry at another node".to_owned(),
     };
     context.act(Action::Refuse { caller, refusal });
 }
--- a/crates/thornbridge-core/src/node/reporting.rs
+++ b/crates/thornbridge-core/src/node/reporting.rs
@@ -1,11 +1,11 @@
-//! What a node tells of itself: counters, status, readiness.
+//! Counters, status and readiness of a node.
 
 use super::{Lifecycle, Node};
 use crate::counters::Counters;
 use crate::status::{NodeReadiness, ServiceStatus, StatusReport};
 
 impl Node {
-    /// A copy of every counter.
+    /// Snapshot of all counters.
     pub fn counters(&self) -> Counters {
         Counters {
             routing: self.router.counters().clone(),
@@ -19,16 +19,16 @@
         }
     }
 
-    /// What the node knows, for operators, as of the last event.
+    /// Status report for operators, as of the last event.
     pub fn status(&self) -> StatusReport {
-        let in_force = self.control.configuration.in_force();
+        let active = self.control.configuration.active();
         StatusReport {
             node: self.setup.endpoint.node,
             name: self.setup.name.clone(),
             readiness: self.readiness(),
-            configuration: in_force.map(|in_force| in_force.reference.clone()),
+            configuration: active.map(|active| active.reference.clone()),
             members: self.control.membership.view().members().to_vec(),
-            configuration_obstacle: self.control.configuration.obstacle(),
+            configuration_obstacle: self.control.configuration.unavailable_reason(),
             leases: self.control.readers.statuses(self.now),
             platform_staleness: self.control.configuration.platform_age(self.now),
             platform_reachable: self.control.configuration.platform_reachable(),
@@ -38,10 +38,10 @@
     }
 
     fn service_status(&self) -> Vec<ServiceStatus> {
-        let Some(in_force) = self.control.configuration.in_force() else {
+        let Some(active) = self.control.configuration.active() else {
             return Vec::new();
         };
-        let services = in_force.bundle.services.iter();
+        let services = active.bundle.services.iter();
         services
             .filter_map(|service| {
                 let limits = self.limits.status(&service.name)?;
@@ -50,7 +50,7 @@
                     in_flight: limits.in_flight,
                     queued: limits.queued,
                     concurrency_limit: limits.limit as u32,
-                    snapshot: self.queries.snapshot_of(self.now, &service.name),
+                    snapshot: self.queries.current_snapshot(self.now, &service.name),
                 })
             })
             .collect()
@@ -59,7 +59,7 @@
     pub(super) fn readiness(&self) -> NodeReadiness {
         if self.lifecycle != Lifecycle::Running {
             NodeReadiness::Leaving
-        } else if self.control.configuration.in_force().is_none() {
+        } else if self.control.configuration.active().is_none() {
             NodeReadiness::NoConfiguration
         } else if !self.control.health.is_bootstrapped() {
             NodeReadiness::LearningHealth
--- a/crates/thornbridge-core/src/routing/back_end.rs
+++ b/crates/thornbridge-core/src/routing/back_end.rs
@@ -1,4 +1,4 @@
-//! What the router keeps for each back end, and the table of them.
+//! State of each back end, and the table of back ends and services.
 
 use super::back_end_limit::BackEndLimit;
 use super::connections::Pool;
@@ -8,31 +8,31 @@
 use super::load::ReportedLoad;
 use super::outlier::OutlierState;
 use super::slow_start::SlowStart;
-use super::subset::{SubsetServer, Topology, server_hash};
+use super::subset::{SubsetServer, Topology, identity_hash};
 use std::net::SocketAddr;
 use thornbridge_config::bundle::{BackEnd, Bundle};
 use thornbridge_proto::{BackEndId, ServiceName};
 
-/// Position of a back end in the table. Stable while the back end is there.
+/// Index of a back end in the table. Stable while the back end is in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct BackEndIndex(pub(super) u32);
 
-/// Position of a service in the table.
+/// Index of a service in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ServiceIndex(pub(super) u32);
 
-/// One back end.
+/// State of one back end.
 #[derive(Debug)]
 pub(super) struct BackEndState {
     pub(super) id: BackEndId,
     pub(super) address: SocketAddr,
     pub(super) service: ServiceIndex,
     pub(super) slots: f32,
-    /// In the configuration in force. Where not, it only finishes what it has.
+    /// In the active configuration. A back end that is not is only drained.
     pub(super) configured: bool,
-    /// Connections this node may have to it; 0 outside the subset.
-    pub(super) share: u32,
-    /// Attempts handed over and not ended, cancelled ones included.
+    /// Maximum connections of this node to the back end; 0 outside the subset.
+    pub(super) connection_share: u32,
+    /// Attempts dispatched and not ended, cancelled ones included.
     pub(super) in_flight: u32,
     pub(super) pool: Pool,
     pub(super) load: ReportedLoad,
@@ -41,48 +41,48 @@
     pub(super) slow_start: SlowStart,
     pub(super) outlier: OutlierState,
     pub(super) limit: BackEndLimit,
-    /// Shards it holds, as positions among the table's groups.
+    /// Replica groups of which the back end is a member, as indices into the table's groups.
     pub(super) groups: Vec<u32>,
 }
 
 impl BackEndState {
-    /// Whether it may get anything new.
+    /// Whether new attempts may be sent to the back end.
     pub(super) fn takes_new_work(&self) -> bool {
-        self.configured && self.share > 0 && !self.health.is_leaving()
+        self.configured && self.connection_share > 0 && !self.health.is_leaving()
     }
 
-    /// Whether it is a plain choice: takes work, reachable, not ejected.
-    pub(super) fn is_sound(&self) -> bool {
+    /// Whether the back end takes new work, is reachable and is not ejected.
+    pub(super) fn is_healthy(&self) -> bool {
         self.takes_new_work()
             && !self.health.is_unreachable()
             && !self.health.is_reported_unreachable()
             && !self.outlier.is_ejected()
     }
 
-    /// Nothing of it is left to finish.
+    /// Whether no attempt and no connection is left.
     pub(super) fn is_drained(&self) -> bool {
         self.in_flight == 0 && self.pool.open() == 0
     }
 }
 
-/// A service, as far as routing cares.
+/// Routing state of a service.
 #[derive(Debug)]
 pub(super) struct ServiceState {
     pub(super) name: ServiceName,
-    /// Latency over all of its back ends.
+    /// Latency over all back ends of the service.
     pub(super) latency: LatencyEstimate,
-    /// Its back ends in the configuration in force.
+    /// Back ends of the service in the active configuration.
     pub(super) back_ends: Vec<BackEndIndex>,
 }
 
-/// All back ends and services.
+/// Table of back ends and services.
 #[derive(Debug, Default)]
 pub(super) struct BackEndTable {
-    slots: Vec<Option<BackEndState>>,
+    entries: Vec<Option<BackEndState>>,
     by_id: LookupMap<BackEndId, BackEndIndex>,
-    free: Vec<BackEndIndex>,
+    free_indices: Vec<BackEndIndex>,
     pub(super) services: Vec<ServiceState>,
-    /// Replicas of each shard of each layout.
+    /// Replica groups: the replicas of each shard of each layout.
     pub(super) groups: Vec<Vec<BackEndIndex>>,
 }
 
@@ -92,58 +92,58 @@
     }
 
     pub(super) fn get(&self, index: BackEndIndex) -> Option<&BackEndState> {
-        self.slots.get(index.0 as usize)?.as_ref()
+        self.entries.get(index.0 as usize)?.as_ref()
     }
 
     pub(super) fn get_mut(&mut self, index: BackEndIndex) -> Option<&mut BackEndState> {
-        self.slots.get_mut(index.0 as usize)?.as_mut()
+        self.entries.get_mut(index.0 as usize)?.as_mut()
     }
 
-    pub(super) fn find(&self, id: &BackEndId) -> Option<&BackEndState> {
+    pub(super) fn get_by_id(&self, id: &BackEndId) -> Option<&BackEndState> {
         self.get(self.index(id)?)
     }
 
     pub(super) fn indices(&self) -> impl Iterator<Item = BackEndIndex> + use<> {
-        (0..self.slots.len() as u32).map(BackEndIndex)
+        (0..self.entries.len() as u32).map(BackEndIndex)
     }
 
     pub(super) fn states(&self) -> impl Iterator<Item = &BackEndState> {
-        self.slots.iter().flatten()
+        self.entries.iter().flatten()
     }
 
-    /// Logarithm of the usual latency of a service.
-    pub(super) fn usual_latency(&self, service: ServiceIndex) -> Option<f32> {
+    /// Log2 of the mean latency of a service in µs.
+    pub(super) fn baseline_log2_us(&self, service: ServiceIndex) -> Option<f32> {
         self.services
             .get(service.0 as usize)?
             .latency
-            .plain_logarithm()
+            .mean_log2_us()
     }
 
     pub(super) fn insert(&mut self, state: BackEndState) -> BackEndIndex {
-        let index = self.free.pop().unwrap_or_else(|| {
-            self.slots.push(None);
-            BackEndIndex(self.slots.len() as u32 - 1)
+        let index = self.free_indices.pop().unwrap_or_else(|| {
+            self.entries.push(None);
+            BackEndIndex(self.entries.len() as u32 - 1)
         });
         self.by_id.insert(state.id.clone(), index);
-        self.slots[index.0 as usize] = Some(state);
+        self.entries[index.0 as usize] = Some(state);
         index
     }
 
-    /// Forgets a back end that is no longer configured once nothing of it is left.
-    pub(super) fn forget_if_drained(&mut self, index: BackEndIndex) {
-        let over = self
+    /// Removes a back end that is no longer configured and is drained.
+    pub(super) fn remove_if_drained(&mut self, index: BackEndIndex) {
+        let removable = self
             .get(index)
             .is_some_and(|state| !state.configured && state.is_drained());
-        if !over {
+        if !removable {
             return;
         }
-        if let Some(state) = self.slots[index.0 as usize].take() {
+        if let Some(state) = self.entries[index.0 as usize].take() {
             self.by_id.remove(&state.id);
-            self.free.push(index);
+            self.free_indices.push(index);
         }
     }
 
-    /// Takes the services and shards of a bundle whose back ends are all in the table.
+    /// Sets services and replica groups from a bundle whose back ends are all in the table.
     pub(super) fn set_services(&mut self, bundle: &Bundle) {
         let mut old = std::mem::take(&mut self.services);
         for service in &bundle.services {
@@ -165,7 +165,7 @@
 
     fn set_groups(&mut self, bundle: &Bundle) {
         self.groups.clear();
-        self.slots
+        self.entries
             .iter_mut()
             .flatten()
             .for_each(|state| state.groups.clear());
@@ -183,8 +183,8 @@
         }
     }
 
-    /// What is to be connected by this bundle, with the table's positions of its servers.
-    /// Independent of this node's history, so that every node computes the same from it.
+    /// Topology of a bundle, and the table index of each of its servers. Does not depend on this
+    /// node's history, so that every node computes the same assignment from it.
     pub(super) fn topology(&self, bundle: &Bundle) -> (Topology, Vec<BackEndIndex>) {
         let mut topology = Topology::default();
         let mut indices = Vec::new();
@@ -207,8 +207,8 @@
 
 fn subset_server(back_end: &BackEnd) -> SubsetServer {
     SubsetServer {
-        hash: server_hash(back_end.id.as_str()),
+        hash: identity_hash(back_end.id.as_str()),
         zone: back_end.zone.clone(),
-        connections: back_end.connections,
+        connection_limit: back_end.connections,
     }
 }
--- a/crates/thornbridge-core/src/routing/balancer.rs
+++ b/crates/thornbridge-core/src/routing/balancer.rs
@@ -1,49 +1,47 @@
-//! Which of several usable back ends gets an attempt.
+//! Load balancing among the candidates for an attempt.
 //!
-//! The combined policy draws a few at random (M. Mitzenmacher, "The Power of Two Choices in
-//! Randomized Load Balancing", 2001) and compares an expected cost: latency, raised by the cube
-//! of the load, as in L. Suresh et al., "C3: Cutting Tail Latency in Cloud Data Stores via
-//! Adaptive Replica Selection", NSDI 2015. Load is this node's own attempts in flight plus what
-//! the back end reports of others, fading with age. As in B. Wydrowski et al., "Load is not what
-//! you should balance: Introducing Prequal", NSDI 2024, latencies that hardly differ do not
-//! decide; there, load does.
+//! The combined policy samples a few candidates (M. Mitzenmacher, "The Power of Two Choices in
+//! Randomized Load Balancing", 2001) and compares their expected cost: latency multiplied by the
+//! cube of the load, as in L. Suresh et al., "C3: Cutting Tail Latency in Cloud Data Stores via
+//! Adaptive Replica Selection", NSDI 2015. Load is the number of this node's attempts in flight
+//! plus the reported load of other nodes, which decays with age. Candidates of similar cost are
+//! compared by load, as in B. Wydrowski et al., "Load is not what you should balance: Introducing
+//! Prequal", NSDI 2024.
 //!
-//! A report alone never wins: where this node's own knowledge does not support it, it only tilts
-//! the odds, so a back end that understates its load gains a bounded share.
+//! A load report that this node's own observations do not confirm decides with a bounded
+//! probability only, so that a back end that understates its load attracts a bounded share of the
+//! attempts.
 
 use super::back_end::BackEndIndex;
-use super::latency::logarithm_of_ratio;
+use super::latency::approximate_log2;
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// How back ends are compared.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BalancerPolicy {
-    /// Any, with equal chances. The baseline.
+    /// Uniformly random.
     Random,
-    /// Of a few drawn at random (two with `choices = 2`), the one with fewer own attempts in
-    /// flight.
+    /// Fewest own attempts in flight among a few candidates chosen at random.
     PowerOfTwo,
-    /// Of a few drawn at random, the one with the lower expected cost.
+    /// Lowest expected cost among a few candidates chosen at random.
     #[default]
     Combined,
 }
 
-/// Tunable values.
+/// Parameters of load balancing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BalancerParameters {
-    /// How back ends are compared.
+    /// Load balancing policy.
     pub policy: BalancerPolicy,
-    /// Back ends drawn at random and compared. More than two, since most of what is compared is
-    /// this node's own and never stale; not all of a large service, since each costs some time.
+    /// Candidates that are chosen at random and compared.
     pub choices: u32,
-    /// Ratio of two costs up to which they count as equal and load decides: measured latencies
-    /// are noisy.
+    /// Ratio of two costs up to which they count as equal and load decides.
     pub tolerance: f32,
-    /// Chance that a report decides where own knowledge does not agree with it. Between 0.5,
-    /// where reports are not heard, and 1, where a false one attracts everything.
+    /// Probability that a load report decides where own observations disagree with it, from 0.5
+    /// (reports have no effect) to 1 (reports always decide).
     pub report_trust: f32,
 }
 
@@ -58,20 +56,20 @@
     }
 }
 
-/// What the comparison looks at.
+/// Back end as seen by the load balancer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) back_end: BackEndIndex,
-    /// Own attempts in flight.
-    pub(super) own: f32,
-    /// Work of others, as reported and aged.
-    pub(super) others: f32,
+    /// This node's attempts in flight.
+    pub(super) own_in_flight: f32,
+    /// Load of other nodes, decayed with the age of the report.
+    pub(super) others_load: f32,
     pub(super) slots: f32,
-    /// Logarithm to base 2 of the expected latency; absent where nothing is known.
-    pub(super) latency: Option<f32>,
+    /// Log2 of the expected latency in µs; `None` if unknown.
+    pub(super) latency_log2_us: Option<f32>,
 }
 
-/// Picks one. `candidates` is not empty.
+/// Chooses one of the candidates, of which there must be at least one.
 pub(super) fn pick(
     parameters: &BalancerParameters,
     random: &mut impl Rng,
@@ -87,9 +85,9 @@
     let mut best = draw(random, candidates, 0);
     for position in 1..drawn {
         let next = draw(random, candidates, position);
-        // The draw is already in random order: the first wins where nothing decides.
+        // Candidates are in random order, so keeping the first one breaks ties at random.
         best = match parameters.policy {
-            BalancerPolicy::PowerOfTwo if next.own < best.own => next,
+            BalancerPolicy::PowerOfTwo if next.own_in_flight < best.own_in_flight => next,
             BalancerPolicy::Combined => compare(parameters, random, &best, &next),
             _ => best,
         };
@@ -97,7 +95,7 @@
     best.back_end
 }
 
-/// The next of a random order (Fisher and Yates): swaps it to its position.
+/// Fisher-Yates step: swaps a random remaining candidate to `position`.
 fn draw(random: &mut impl Rng, candidates: &mut [Candidate], position: usize) -> Candidate {
     let other = random.random_range(position..candidates.len());
     candidates.swap(position, other);
@@ -105,7 +103,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum Preference {
     First,
     Second,
     Equal,
@@ -117,58 +115,62 @@
     first: &Candidate,
     second: &Candidate,
 ) -> Candidate {
-    let own = verdict(parameters, first, second, |_| 0.0);
-    let reported = verdict(parameters, first, second, |candidate| candidate.others);
+    let own = preference(parameters, first, second, |_| 0.0);
+    let reported = preference(parameters, first, second, |candidate| candidate.others_load);
     let trusted = own == reported || random.random::<f32>() < parameters.report_trust;
     let decided = if trusted {
         reported
     } else {
-        opposite(own, reported)
+        discount_report(own, reported)
     };
     match decided {
-        Verdict::Second => *second,
-        Verdict::First | Verdict::Equal => *first,
+        Preference::Second => *second,
+        Preference::First | Preference::Equal => *first,
     }
 }
 
-/// What to do when a report is not trusted: own knowledge where it says something, else the
-/// other one of the two.
-fn opposite(own: Verdict, reported: Verdict) -> Verdict {
+/// Preference when a report is not trusted: by own observations, or against the report if these
+/// have no preference.
+fn discount_report(own: Preference, reported: Preference) -> Preference {
     match (own, reported) {
-        (Verdict::Equal, Verdict::First) => Verdict::Second,
-        (Verdict::Equal, Verdict::Second) => Verdict::First,
+        (Preference::Equal, Preference::First) => Preference::Second,
+        (Preference::Equal, Preference::Second) => Preference::First,
         _ => own,
     }
 }
 
-/// Which is better: by cost where that differs enough, else by load.
-fn verdict(
+/// Preference by cost if the costs differ by more than the tolerance, else by load.
+fn preference(
     parameters: &BalancerParameters,
     first: &Candidate,
     second: &Candidate,
-    others: impl Fn(&Candidate) -> f32,
-) -> Verdict {
-    let (first_others, second_others) = (others(first), others(second));
-    let tolerance = logarithm_of_ratio(parameters.tolerance);
-    let costs = cost(first, first_others) - cost(second, second_others);
-    if costs.abs() > tolerance {
-        return lower(costs);
+    others_load: impl Fn(&Candidate) -> f32,
+) -> Preference {
+    let (first_others_load, second_others_load) = (others_load(first), others_load(second));
+    let tolerance = approximate_log2(parameters.tolerance);
+    let cost_difference =
+        log2_cost(first, first_others_load) - log2_cost(second, second_others_load);
+    if cost_difference.abs() > tolerance {
+        return prefer_lower(cost_difference);
     }
-    lower((first.own + first_others) / first.slots - (second.own + second_others) / second.slots)
+    prefer_lower(
+        (first.own_in_flight + first_others_load) / first.slots
+            - (second.own_in_flight + second_others_load) / second.slots,
+    )
 }
 
-fn lower(difference: f32) -> Verdict {
+fn prefer_lower(difference: f32) -> Preference {
     if difference < 0.0 {
-        Verdict::First
+        Preference::First
     } else if difference > 0.0 {
-        Verdict::Second
+        Preference::Second
     } else {
-        Verdict::Equal
+        Preference::Equal
     }
 }
 
-/// Logarithm of the expected latency with one attempt more.
-fn cost(candidate: &Candidate, others: f32) -> f32 {
-    let load = (candidate.own + others + 1.0) / candidate.slots.max(1.0);
-    candidate.latency.unwrap_or(0.0) + logarithm_of_ratio(1.0 + load * load * load)
+/// Log2 of the expected cost of one more attempt.
+fn log2_cost(candidate: &Candidate, others_load: f32) -> f32 {
+    let load = (candidate.own_in_flight + others_load + 1.0) / candidate.slots.max(1.0);
+    candidate.latency_log2_us.unwrap_or(0.0) + approximate_log2(1.0 + load * load * load)
 }
--- a/crates/thornbridge-core/src/routing/connecting.rs
+++ b/crates/thornbridge-core/src/routing/connecting.rs
@@ -1,4 +1,4 @@
-//! Opening, keeping and closing connections.
+//! Opening, reusing and closing connections.
 
 use super::Router;
 use super::back_end::BackEndIndex;
@@ -8,29 +8,29 @@
 use crate::event::AttemptFailure;
 
 impl Router {
-    /// A connection is open.
+    /// Handles an opened connection.
     pub fn connection_opened(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(known) = self.connections.get(connection) else {
+        let Some(tracked) = self.connections.get(connection) else {
             return;
         };
-        if known.state != ConnectionState::Opening {
+        if tracked.state != ConnectionState::Opening {
             return;
         }
         self.connections
             .set_state(connection, ConnectionState::Idle);
-        if let Some(state) = self.back_ends.get_mut(known.back_end) {
+        if let Some(state) = self.back_ends.get_mut(tracked.back_end) {
             state.pool.opening -= 1;
             state.pool.backoff.reset();
         }
-        self.observe_connected(context, known.back_end);
+        self.observe_connected(context, tracked.back_end);
         self.release(context, connection);
-        self.back_ends.forget_if_drained(known.back_end);
+        self.back_ends.remove_if_drained(tracked.back_end);
     }
 
-    /// A connection was lost, or could not be opened. Attempts that wait stay where another
-    /// connection can still serve them; else they end, and [`Self::poll_finished`] gives them.
+    /// Handles a connection that was lost or could not be opened. If the back end has no other
+    /// connection, its waiting attempts fail and are returned by [`Self::poll_finished`].
     pub fn connection_lost(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(lost) = self.forget(connection) else {
+        let Some(lost) = self.remove_connection(connection) else {
             return;
         };
         match lost.state {
@@ -39,19 +39,19 @@
             ConnectionState::Idle => self.counters.connections_lost += 1,
             ConnectionState::Busy(attempt) => {
                 self.counters.connections_lost += 1;
-                // The driver reports the attempt first; this is for one that does not.
+                // Fails the attempt if the driver has not reported its failure before.
                 let broken = AttemptFailure::ConnectionBroken;
-                let finished = self.failed(context, attempt, broken);
+                let finished = self.attempt_failed(context, attempt, broken);
                 self.finished.extend(finished);
             }
         }
-        self.open_where_needed(context, lost.back_end);
-        self.fail_hopeless(context, lost.back_end);
-        self.back_ends.forget_if_drained(lost.back_end);
+        self.open_for_waiting(context, lost.back_end);
+        self.fail_waiting_if_unconnected(context, lost.back_end);
+        self.back_ends.remove_if_drained(lost.back_end);
     }
 
-    /// Opens connections for attempts that wait, within the share.
-    pub(super) fn open_where_needed(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    /// Opens connections for waiting attempts, up to the connection share.
+    pub(super) fn open_for_waiting(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let waiting = state.pool.waiting.len() as u32;
             if state.pool.opening >= waiting || !self.try_open(context, index) {
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Opens connections that are kept without any use, within the share.
-    pub(super) fn open_warm(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
+    /// Opens the minimum number of warm connections, up to the connection share.
+    pub(super) fn open_warm_connections(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let warm = self.parameters.connections.warm;
         while let Some(state) = self.back_ends.get(index) {
             if state.pool.open() >= warm || !self.try_open(context, index) {
@@ -70,18 +70,18 @@
         }
     }
 
-    /// A connection that was engaged is free: it takes the next attempt, rests, or is closed.
+    /// Gives a free connection to the next waiting attempt, or makes it idle, or closes it.
     pub(super) fn release(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        let Some(known) = self.connections.get(connection) else {
+        let Some(tracked) = self.connections.get(connection) else {
             return;
         };
-        let Some(state) = self.back_ends.get_mut(known.back_end) else {
+        let Some(state) = self.back_ends.get_mut(tracked.back_end) else {
             return;
         };
-        let unwanted = !state.takes_new_work() || state.pool.open() > state.share;
-        if known.retired || unwanted {
+        let surplus = !state.takes_new_work() || state.pool.open() > state.connection_share;
+        if tracked.retired || surplus {
             self.close(context, connection);
-            self.open_where_needed(context, known.back_end);
+            self.open_for_waiting(context, tracked.back_end);
             return;
         }
         if let Some(attempt) = state.pool.waiting.pop_front() {
@@ -89,33 +89,33 @@
             self.send(context, connection, attempt);
             return;
         }
-        state.pool.disengage(connection);
+        state.pool.remove_in_use(connection);
         state.pool.idle.push(connection);
         self.connections
             .set_state(connection, ConnectionState::Idle);
     }
 
-    /// An idle connection, already taken out of the idle ones, is put to use.
-    pub(super) fn engage(&mut self, index: BackEndIndex, connection: ConnectionId) {
+    /// Marks a connection that was removed from the idle ones as in use.
+    pub(super) fn mark_in_use(&mut self, index: BackEndIndex, connection: ConnectionId) {
         if let Some(state) = self.back_ends.get_mut(index) {
-            state.pool.engaged.push(connection);
-            state.pool.note_use();
+            state.pool.in_use.push(connection);
+            state.pool.record_use();
         }
     }
 
-    /// Closes a connection whatever its state.
+    /// Closes a connection in any state.
     pub(super) fn close(&mut self, context: &mut Context<'_>, connection: ConnectionId) {
-        if self.forget(connection).is_some() {
+        if self.remove_connection(connection).is_some() {
             self.counters.connections_closed += 1;
             context.act(Action::CloseConnection { connection });
         }
     }
 
-    /// Closes idle connections above what the back end may keep.
+    /// Closes idle connections above the connection share.
     pub(super) fn close_surplus(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         while let Some(state) = self.back_ends.get(index) {
             let kept = if state.takes_new_work() {
-                state.share
+                state.connection_share
             } else {
                 0
             };
@@ -129,27 +129,31 @@
         }
     }
 
-    /// Closes idle connections to a former address and marks the others to follow.
+    /// Closes idle connections to a previous address; the others are closed when they become free.
     pub(super) fn retire_connections(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(state) = self.back_ends.get(index) else {
             return;
         };
-        let engaged = state.pool.engaged.clone();
+        let in_use = state.pool.in_use.clone();
         for connection in state.pool.idle.clone() {
             self.close(context, connection);
         }
-        for connection in engaged {
+        for connection in in_use {
             self.connections.retire(connection);
         }
     }
 
-    /// Ends waiting attempts where no connection is open or being opened.
-    pub(super) fn fail_hopeless(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
-        let hopeless = self
+    /// Fails waiting attempts if no connection is open or being opened.
+    pub(super) fn fail_waiting_if_unconnected(
+        &mut self,
+        context: &mut Context<'_>,
+        index: BackEndIndex,
+    ) {
+        let unconnected = self
             .back_ends
             .get(index)
             .is_some_and(|state| state.pool.open() == 0);
-        if hopeless {
+        if unconnected {
             self.fail_waiting(context, index);
         }
     }
@@ -159,15 +163,15 @@
             return false;
         };
         let allowed = state.takes_new_work()
-            && state.pool.open() < state.share
+            && state.pool.open() < state.connection_share
             && state.pool.backoff.allows(context.now);
         if !allowed {
             return false;
         }
-        let connection = self.connections.begin(index);
-        state.pool.engaged.push(connection);
+        let connection = self.connections.insert_opening(index);
+        state.pool.in_use.push(connection);
         state.pool.opening += 1;
-        state.pool.note_use();
+        state.pool.record_use();
         self.counters.connections_opened += 1;
         context.act(Action::OpenConnection {
             connection,
@@ -183,27 +187,27 @@
             return;
         };
         let parameters = &self.parameters.connections;
-        let again = state
+        let retry_at = state
             .pool
             .backoff
-            .failed(parameters, context.now, context.random);
-        self.reconnects.insert((again, index));
+            .record_failure(parameters, context.now, context.random);
+        self.reconnects.insert((retry_at, index));
         if state.pool.established() == 0 {
             self.observe_unreachable(context, index);
         }
     }
 
-    /// Takes a connection out of the books.
-    fn forget(&mut self, connection: ConnectionId) -> Option<Connection> {
-        let known = self.connections.remove(connection)?;
-        if let Some(state) = self.back_ends.get_mut(known.back_end) {
-            if !state.pool.disengage(connection) {
+    /// Removes a connection from the table and from its pool.
+    fn remove_connection(&mut self, connection: ConnectionId) -> Option<Connection> {
+        let tracked = self.connections.remove(connection)?;
+        if let Some(state) = self.back_ends.get_mut(tracked.back_end) {
+            if !state.pool.remove_in_use(connection) {
                 state.pool.idle.retain(|idle| *idle != connection);
             }
-            if known.state == ConnectionState::Opening {
+            if tracked.state == ConnectionState::Opening {
                 state.pool.opening -= 1;
             }
         }
-        Some(known)
+        Some(tracked)
     }
 }
--- a/crates/thornbridge-core/src/routing/dispatching.rs
+++ b/crates/thornbridge-core/src/routing/dispatching.rs
@@ -1,6 +1,6 @@
-//! The life of an attempt: handed over, waiting, sent, cancelled, ended.
+//! Lifecycle of attempts: dispatched, waiting for a connection, sent, cancelled, ended.
 
-use super::attempts::Pending;
+use super::attempts::PendingAttempt;
 use super::back_end::BackEndIndex;
 use super::connections::ConnectionState;
 use super::{AttemptOwner, FinishedAttempt, Router};
@@ -12,7 +12,8 @@
 use thornbridge_proto::{AttemptId, BackEndId};
 
 impl Router {
-    /// Sends an attempt, at once or as soon as a connection is free. Its time left runs from now.
+    /// Sends an attempt at once, or when a connection becomes free. The deadline of the attempt is
+    /// now plus its remaining time.
     pub fn dispatch(
         &mut self,
         context: &mut Context<'_>,
@@ -35,42 +36,47 @@
         state.in_flight += 1;
         let idle = state.pool.idle.pop();
         let id = attempt.attempt;
-        self.attempts.insert(Pending {
+        self.attempts.insert(PendingAttempt {
             owner,
             deadline: context.now + attempt.time_left,
             attempt,
             back_end: index,
-            handed_over: context.now,
+            dispatched_at: context.now,
             sent: None,
             cancelled: false,
             moved: false,
         });
         match idle {
             Some(connection) => {
-                self.engage(index, connection);
+                self.mark_in_use(index, connection);
                 self.send(context, connection, id);
             }
-            None => self.wait(context, index, id),
+            None => self.wait_for_connection(context, index, id),
         }
     }
 
-    /// Gives up an attempt; its end is not reported to the owner any more. One that was sent
-    /// keeps its connection, and counts as in flight, until its reply comes.
+    /// Cancels an attempt, which is then not returned as finished. An attempt that was sent
+    /// occupies its connection and counts as in flight until the reply or the end of the grace
+    /// period.
     pub fn cancel(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
-        let Some(pending) = self.attempts.get_mut(attempt).filter(|it| !it.cancelled) else {
+        let Some(pending) = self
+            .attempts
+            .get_mut(attempt)
+            .filter(|pending| !pending.cancelled)
+        else {
             return;
         };
         self.counters.attempts_cancelled += 1;
         let index = pending.back_end;
         let Some((connection, sent)) = pending.sent else {
-            self.withdraw(index, attempt);
+            self.remove_waiting(index, attempt);
             return;
         };
         pending.cancelled = true;
         let request = pending.attempt.request;
-        let until = context.now + self.parameters.connections.cancel_grace;
-        self.attempts.cancelled(attempt, until);
-        self.observe_slower_than(context.now, index, context.now.since(sent));
+        let grace_end = context.now + self.parameters.connections.cancel_grace;
+        self.attempts.record_cancellation(attempt, grace_end);
+        self.observe_latency_lower_bound(context.now, index, context.now.since(sent));
         if let Some(state) = self.back_ends.get(index) {
             context.act(Action::CancelAttempt {
                 connection,
@@ -81,37 +87,40 @@
         }
     }
 
-    /// A reply came.
-    pub fn replied(
+    /// Handles a reply to an attempt.
+    pub fn attempt_replied(
         &mut self,
         context: &mut Context<'_>,
         attempt: AttemptId,
         reply: BackEndReply,
         load: Option<LoadReport>,
     ) -> Option<FinishedAttempt> {
-        // A reply to an attempt that waits to be sent (again) cannot be its reply.
-        let sent = self.attempts.get(attempt).filter(|it| it.sent.is_some());
+        // An attempt that is not on a connection cannot have a reply.
+        let sent = self
+            .attempts
+            .get(attempt)
+            .filter(|pending| pending.sent.is_some());
         let Some(pending) = sent else {
             self.counters.replies_foreign += 1;
             return None;
         };
-        if !echoes(&reply, &pending.attempt) {
+        if !matches_attempt(&reply, &pending.attempt) {
             self.counters.replies_foreign += 1;
-            return self.failed(context, attempt, AttemptFailure::MalformedReply);
+            return self.attempt_failed(context, attempt, AttemptFailure::MalformedReply);
         }
-        let pending = self.end(attempt)?;
+        let pending = self.remove_attempt(attempt)?;
         self.observe_reply(context, &pending, &reply, load.as_ref());
         if let Some((connection, _)) = pending.sent {
             self.release(context, connection);
         }
         let index = pending.back_end;
-        let finished = self.report(context, pending, Ok(reply));
-        self.back_ends.forget_if_drained(index);
+        let finished = self.finish(context, pending, Ok(reply));
+        self.back_ends.remove_if_drained(index);
         finished
     }
 
-    /// An attempt failed.
-    pub fn failed(
+    /// Handles the failure of an attempt that was sent.
+    pub fn attempt_failed(
         &mut self,
         context: &mut Context<'_>,
         attempt: AttemptId,
@@ -119,23 +128,23 @@
     ) -> Option<FinishedAttempt> {
         let (connection, _) = self.attempts.get(attempt)?.sent?;
         self.close(context, connection);
-        if failure == AttemptFailure::NotSent && self.move_over(context, attempt) {
+        if failure == AttemptFailure::NotSent && self.move_to_other_connection(context, attempt) {
             return None;
         }
-        let pending = self.end(attempt)?;
+        let pending = self.remove_attempt(attempt)?;
         let index = pending.back_end;
         self.counters.attempts_failed += 1;
         if failure != AttemptFailure::NotSent {
             self.observe_failure(context, index);
         }
-        self.open_where_needed(context, index);
-        self.fail_hopeless(context, index);
-        let finished = self.report(context, pending, Err(failure));
-        self.back_ends.forget_if_drained(index);
+        self.open_for_waiting(context, index);
+        self.fail_waiting_if_unconnected(context, index);
+        let finished = self.finish(context, pending, Err(failure));
+        self.back_ends.remove_if_drained(index);
         finished
     }
 
-    /// Ends attempts that wait for a connection to this back end, none of which was sent.
+    /// Fails the attempts that wait for a connection to a back end.
     pub(super) fn fail_waiting(&mut self, context: &mut Context<'_>, index: BackEndIndex) {
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
@@ -145,7 +154,7 @@
         }
     }
 
-    /// Ends a waiting attempt whose time is over.
+    /// Fails a waiting attempt at its deadline.
     pub(super) fn expire(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         self.counters.attempts_expired_waiting += 1;
         if let Some(pending) = self.attempts.get(attempt) {
@@ -157,7 +166,7 @@
         self.fail_unsent(context, attempt);
     }
 
-    /// Closes the connection of a cancelled attempt whose reply did not come.
+    /// Closes the connection of a cancelled attempt that got no reply in its grace period.
     pub(super) fn abandon(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
         let sent = self.attempts.get(attempt).and_then(|pending| pending.sent);
         let Some((connection, _)) = sent else {
@@ -165,15 +174,15 @@
         };
         self.counters.attempts_abandoned += 1;
         self.close(context, connection);
-        if let Some(pending) = self.end(attempt) {
+        if let Some(pending) = self.remove_attempt(attempt) {
             self.observe_failure(context, pending.back_end);
-            self.open_where_needed(context, pending.back_end);
-            self.fail_hopeless(context, pending.back_end);
-            self.back_ends.forget_if_drained(pending.back_end);
+            self.open_for_waiting(context, pending.back_end);
+            self.fail_waiting_if_unconnected(context, pending.back_end);
+            self.back_ends.remove_if_drained(pending.back_end);
         }
     }
 
-    /// Puts an attempt on a free, engaged connection.
+    /// Sends an attempt on a free connection that is marked as in use.
     pub(super) fn send(
         &mut self,
         context: &mut Context<'_>,
@@ -184,7 +193,7 @@
             return;
         };
         pending.sent = Some((connection, context.now));
-        // Time spent waiting for the connection is no longer there for the back end.
+        // The time spent waiting for a connection is deducted.
         pending.attempt.time_left = pending.deadline.since(context.now);
         let attempt_sent = pending.attempt.clone();
         self.connections
@@ -196,27 +205,33 @@
         });
     }
 
-    fn wait(&mut self, context: &mut Context<'_>, index: BackEndIndex, attempt: AttemptId) {
+    fn wait_for_connection(
+        &mut self,
+        context: &mut Context<'_>,
+        index: BackEndIndex,
+        attempt: AttemptId,
+    ) {
         self.counters.attempts_waited += 1;
         self.attempts.begin_waiting(attempt);
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.waiting.push_back(attempt);
         }
-        self.open_where_needed(context, index);
-        self.fail_hopeless(context, index);
+        self.open_for_waiting(context, index);
+        self.fail_waiting_if_unconnected(context, index);
     }
 
-    /// A waiting attempt is not wanted any more.
-    fn withdraw(&mut self, index: BackEndIndex, attempt: AttemptId) {
+    /// Removes a cancelled attempt that waits for a connection.
+    fn remove_waiting(&mut self, index: BackEndIndex, attempt: AttemptId) {
         if let Some(state) = self.back_ends.get_mut(index) {
             state.pool.waiting.retain(|waiting| *waiting != attempt);
         }
-        self.end(attempt);
-        self.back_ends.forget_if_drained(index);
+        self.remove_attempt(attempt);
+        self.back_ends.remove_if_drained(index);
     }
 
-    /// Lets an attempt whose connection broke before any byte left wait for another one, once.
-    fn move_over(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> bool {
+    /// Moves an attempt, once, to another connection after its connection broke before any byte was
+    /// sent. Returns whether the attempt was moved.
+    fn move_to_other_connection(&mut self, context: &mut Context<'_>, attempt: AttemptId) -> bool {
         let Some(pending) = self.attempts.get_mut(attempt) else {
             return false;
         };
@@ -224,8 +239,12 @@
         let Some(state) = self.back_ends.get_mut(index) else {
             return false;
         };
-        let another = state.takes_new_work() && state.pool.established() > 0;
-        if pending.cancelled || pending.moved || !another || pending.deadline <= context.now {
+        let has_other_connection = state.takes_new_work() && state.pool.established() > 0;
+        if pending.cancelled
+            || pending.moved
+            || !has_other_connection
+            || pending.deadline <= context.now
+        {
             return false;
         }
         pending.moved = true;
@@ -233,28 +252,28 @@
         self.counters.attempts_moved += 1;
         match state.pool.idle.pop() {
             Some(connection) => {
-                self.engage(index, connection);
+                self.mark_in_use(index, connection);
                 self.send(context, connection, attempt);
             }
             None => {
-                // It came before those that wait now.
+                // The attempt is older than the waiting ones.
                 state.pool.waiting.push_front(attempt);
                 self.attempts.begin_waiting(attempt);
-                self.open_where_needed(context, index);
+                self.open_for_waiting(context, index);
             }
         }
         true
     }
 
-    /// Ends an attempt that was never sent.
+    /// Fails an attempt that was never sent.
     fn fail_unsent(&mut self, context: &mut Context<'_>, attempt: AttemptId) {
-        if let Some(pending) = self.end(attempt) {
-            let finished = self.report(context, pending, Err(AttemptFailure::NotSent));
+        if let Some(pending) = self.remove_attempt(attempt) {
+            let finished = self.finish(context, pending, Err(AttemptFailure::NotSent));
             self.finished.extend(finished);
         }
     }
 
-    /// Refuses an attempt that its back end may not get.
+    /// Fails an attempt whose back end is unknown or takes no new work.
     fn reject(&mut self, back_end: &BackEndId, owner: AttemptOwner, attempt: Attempt) {
         self.finished.push_back(FinishedAttempt {
             owner,
@@ -265,7 +284,7 @@
         });
     }
 
-    fn end(&mut self, attempt: AttemptId) -> Option<Pending> {
+    fn remove_attempt(&mut self, attempt: AttemptId) -> Option<PendingAttempt> {
         let pending = self.attempts.remove(attempt)?;
         if let Some(state) = self.back_ends.get_mut(pending.back_end) {
             state.in_flight -= 1;
@@ -273,10 +292,10 @@
         Some(pending)
     }
 
-    fn report(
+    fn finish(
         &self,
         context: &Context<'_>,
-        pending: Pending,
+        pending: PendingAttempt,
         result: Result<BackEndReply, AttemptFailure>,
     ) -> Option<FinishedAttempt> {
         if pending.cancelled {
@@ -285,7 +304,7 @@
         let state = self.back_ends.get(pending.back_end)?;
         Some(FinishedAttempt {
             owner: pending.owner,
-            latency: context.now.since(pending.handed_over),
+            latency: context.now.since(pending.dispatched_at),
             attempt: pending.attempt,
             back_end: state.id.clone(),
             result,
@@ -293,8 +312,8 @@
     }
 }
 
-/// Whether a reply belongs to the attempt that its connection was running.
-fn echoes(reply: &BackEndReply, attempt: &Attempt) -> bool {
+/// Whether a reply echoes the ids of the attempt that its connection carries.
+fn matches_attempt(reply: &BackEndReply, attempt: &Attempt) -> bool {
     reply.attempt == attempt.attempt
         && reply.request == attempt.request
         && reply.shard == attempt.shard
--- a/crates/thornbridge-core/src/routing/health.rs
+++ b/crates/thornbridge-core/src/routing/health.rs
@@ -1,4 +1,5 @@
-//! Whether a back end takes work: from its replies, its reports, its connections, and peers.
+//! Health of a back end: readiness and reachability, from replies, load reports, connections,
+//! probes and peers.
 
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -7,17 +8,16 @@
 use thornbridge_proto::back_end::{LoadReport, Readiness};
 use thornbridge_proto::peer::health::HealthRecord;
 
-/// Tunable values.
+/// Parameters of health tracking.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HealthViewParameters {
-    /// How long a word of leaving stands against words of being ready: replies, probes and peers'
-    /// records may be older than it although they come later.
+    /// Time for which a leaving back end does not become ready again, since replies, probes and
+    /// records of peers may be delayed.
     pub leaving_memory: Duration,
-    /// A peer's word that a back end is unreachable is not believed this long after a reply to
-    /// this node: its own eyes count more.
+    /// Time after a reply for which reports that the back end is unreachable are ignored.
     pub own_evidence: Duration,
-    /// Probes without an answer, one after the other, that make a back end unreachable.
+    /// Consecutive failed probes after which a back end is unreachable.
     pub failed_probes: u32,
 }
 
@@ -31,106 +31,109 @@
     }
 }
 
-/// What this node believes of one back end.
+/// Health of one back end, as known to this node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HealthView {
     readiness: Readiness,
-    left_at: Option<Timestamp>,
-    /// Version of the last record known when it was seen leaving.
-    left_version: u64,
-    /// A newer record calls it ready, but not long enough after it was seen leaving.
-    ready_claimed: Option<Readiness>,
+    leaving_seen_at: Option<Timestamp>,
+    /// Version of the latest record when the back end was last seen leaving.
+    leaving_version: u64,
+    /// Readiness from a newer record that arrived too soon after the back end was seen leaving.
+    deferred_readiness: Option<Readiness>,
     unreachable: bool,
+    /// Reported unreachable by a peer, without a recent reply to this node.
     reported_unreachable: bool,
     failed_probes: u32,
-    last_reply: Option<Timestamp>,
+    last_reply_at: Option<Timestamp>,
     snapshots: Option<Vec<SnapshotId>>,
+    /// Version of the latest record.
     version: u64,
 }
 
 impl HealthView {
-    /// Leaving: gets no new work whatever else is known.
+    /// Whether the back end is leaving and takes no new work.
     pub(super) fn is_leaving(&self) -> bool {
         self.readiness == Readiness::Leaving
     }
 
-    /// This node itself cannot reach it.
+    /// Whether this node cannot reach the back end.
     pub(super) fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// A peer cannot reach it, and this node has no better knowledge.
+    /// Whether a peer cannot reach the back end and this node has no recent reply from it.
     pub(super) fn is_reported_unreachable(&self) -> bool {
         self.reported_unreachable
     }
 
-    /// What it last said of itself.
+    /// Readiness last reported by the back end.
     pub(super) fn readiness(&self) -> Readiness {
         self.readiness
     }
 
-    /// Snapshots it said it holds.
+    /// Snapshots reported by the back end.
     pub(super) fn snapshots(&self) -> Option<&[SnapshotId]> {
         self.snapshots.as_deref()
     }
 
-    /// It answered an attempt. True where this is news.
-    pub(super) fn replied(&mut self, now: Timestamp) -> bool {
-        self.last_reply = Some(now);
+    /// Records a reply to an attempt; returns whether the health changed.
+    pub(super) fn record_reply(&mut self, now: Timestamp) -> bool {
+        self.last_reply_at = Some(now);
         self.failed_probes = 0;
         self.reported_unreachable = false;
         std::mem::take(&mut self.unreachable)
     }
 
-    /// It said how it is. True where this is news.
-    pub(super) fn said(
+    /// Records a reported readiness; returns whether it changed.
+    pub(super) fn record_readiness(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
         readiness: Readiness,
     ) -> bool {
         if readiness == Readiness::Leaving {
-            self.left_at = Some(now);
-            self.left_version = self.version;
-            self.ready_claimed = None;
-        } else if self.left_lately(parameters, now) {
+            self.leaving_seen_at = Some(now);
+            self.leaving_version = self.version;
+            self.deferred_readiness = None;
+        } else if self.recently_leaving(parameters, now) {
             return false;
         } else {
-            self.left_at = None;
+            self.leaving_seen_at = None;
         }
-        let news = self.readiness != readiness;
+        let changed = self.readiness != readiness;
         self.readiness = readiness;
-        news
+        changed
     }
 
-    /// It reported its load. True where this is news.
-    pub(super) fn reported(
+    /// Records a load report; returns whether the health changed.
+    pub(super) fn record_load_report(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
         report: &LoadReport,
     ) -> bool {
-        let mut news = self.said(parameters, now, report.readiness);
+        let mut changed = self.record_readiness(parameters, now, report.readiness);
         if report.snapshots.is_some() && report.snapshots != self.snapshots {
             self.snapshots = report.snapshots.clone();
-            news = true;
+            changed = true;
         }
-        news
+        changed
     }
 
-    /// No connection to it could be opened, and none is open. True where this is news.
-    pub(super) fn connect_failed(&mut self) -> bool {
+    /// Records that no connection is open and none can be opened; returns whether the health
+    /// changed.
+    pub(super) fn record_connect_failure(&mut self) -> bool {
         !std::mem::replace(&mut self.unreachable, true)
     }
 
-    /// A connection was opened. True where this is news.
-    pub(super) fn connected(&mut self) -> bool {
+    /// Records an opened connection; returns whether the health changed.
+    pub(super) fn record_connected(&mut self) -> bool {
         self.failed_probes = 0;
         std::mem::take(&mut self.unreachable)
     }
 
-    /// A probe was answered. True where this is news.
-    pub(super) fn probe_answered(
+    /// Records a reply to a probe; returns whether the health changed.
+    pub(super) fn record_probe_reply(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
@@ -138,26 +141,26 @@
     ) -> bool {
         self.failed_probes = 0;
         self.reported_unreachable = false;
-        let reachable_again = std::mem::take(&mut self.unreachable);
-        self.reported(parameters, now, report) || reachable_again
+        let became_reachable = std::mem::take(&mut self.unreachable);
+        self.record_load_report(parameters, now, report) || became_reachable
     }
 
-    /// A probe was not answered. True where this is news.
-    pub(super) fn probe_failed(
+    /// Records a failed probe; returns whether the health changed.
+    pub(super) fn record_probe_failure(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
     ) -> bool {
         self.failed_probes += 1;
-        let enough = self.failed_probes >= parameters.failed_probes;
-        if !enough || self.replied_lately(parameters, now) {
+        let threshold_reached = self.failed_probes >= parameters.failed_probes;
+        if !threshold_reached || self.recently_replied(parameters, now) {
             return false;
         }
         !std::mem::replace(&mut self.unreachable, true)
     }
 
-    /// A record came through health sharing. Older ones than those known say nothing.
-    pub(super) fn learnt(
+    /// Applies a record of a peer, unless a newer one is known.
+    pub(super) fn apply_record(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
@@ -166,50 +169,50 @@
         if record.version < self.version {
             return;
         }
-        let newer = record.version > self.left_version;
+        let newer = record.version > self.leaving_version;
         self.version = record.version;
-        self.said(parameters, now, record.readiness);
+        self.record_readiness(parameters, now, record.readiness);
         if newer && record.readiness != Readiness::Leaving && self.is_leaving() {
-            // Records come once: this one is kept until it may be believed.
-            self.ready_claimed = Some(record.readiness);
+            // A record is received once only, so its readiness is kept until it can be applied.
+            self.deferred_readiness = Some(record.readiness);
         }
         if record.snapshots.is_some() {
             self.snapshots.clone_from(&record.snapshots);
         }
-        self.reported_unreachable = !record.reachable && !self.replied_lately(parameters, now);
+        self.reported_unreachable = !record.reachable && !self.recently_replied(parameters, now);
     }
 
-    /// Believes a record that came too soon after the back end was seen leaving, once that is
-    /// long enough ago. True where it is no longer leaving.
-    pub(super) fn settle_claim(
+    /// Applies a deferred readiness when the back end has not been seen leaving for long enough.
+    /// Returns whether one was applied.
+    pub(super) fn apply_deferred_readiness(
         &mut self,
         parameters: &HealthViewParameters,
         now: Timestamp,
     ) -> bool {
-        if self.ready_claimed.is_none() || self.left_lately(parameters, now) {
+        if self.deferred_readiness.is_none() || self.recently_leaving(parameters, now) {
             return false;
         }
-        let Some(readiness) = self.ready_claimed.take() else {
+        let Some(readiness) = self.deferred_readiness.take() else {
             return false;
         };
-        self.left_at = None;
+        self.leaving_seen_at = None;
         self.readiness = readiness;
         true
     }
 
-    /// The record that tells peers of the present state. Raises the version.
+    /// Increments and returns the version, for a new record.
     pub(super) fn next_version(&mut self) -> u64 {
         self.version += 1;
         self.version
     }
 
-    fn left_lately(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
-        self.left_at
-            .is_some_and(|left_at| now.since(left_at) < parameters.leaving_memory)
+    fn recently_leaving(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
+        self.leaving_seen_at
+            .is_some_and(|seen_at| now.since(seen_at) < parameters.leaving_memory)
     }
 
-    fn replied_lately(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
-        self.last_reply
-            .is_some_and(|reply| now.since(reply) < parameters.own_evidence)
+    fn recently_replied(&self, parameters: &HealthViewParameters, now: Timestamp) -> bool {
+        self.last_reply_at
+            .is_some_and(|replied_at| now.since(replied_at) < parameters.own_evidence)
     }
 }
--- a/crates/thornbridge-core/src/routing/reconfiguring.rs
+++ b/crates/thornbridge-core/src/routing/reconfiguring.rs
@@ -1,10 +1,10 @@
-//! Changes of configuration and of the member list: state carries over by identity.
+//! Changes of the configuration and of the member list. The state of a back end is kept by its id.
 
 use super::back_end::{BackEndIndex, BackEndState, ServiceIndex};
 use super::back_end_limit::BackEndLimit;
 use super::subset::{SubsetBuild, SubsetNode, Topology};
 use super::{Router, RoutingParameters};
-use crate::configuration::InForce;
+use crate::configuration::ActiveConfiguration;
 use crate::context::Context;
 use crate::membership::MemberView;
 use crate::time::Timestamp;
@@ -16,27 +16,30 @@
 use thornbridge_proto::peer::membership::MemberState;
 use thornbridge_proto::{NodeId, ZoneName};
 
-/// Pairs of node and back end weighed in one go: about a millisecond.
+/// Pairs of node and back end evaluated in one step.
 const PAIRS_PER_STEP: usize = 50_000;
-/// Time between two such steps, left to queries.
+/// Time between two steps, in which queries are handled.
 const STEP_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The members, as far as they share connections.
+/// Nodes among which the connections are divided.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
+    /// This node; `None` before the first member list.
     own: Option<(NodeId, ZoneName)>,
+    /// Nodes that accept work.
     nodes: Vec<SubsetNode>,
-    members: BTreeMap<NodeId, Sharer>,
-    /// Vanished without leaving: dead, or on the other side of a partition.
-    lost: BTreeMap<NodeId, Sharer>,
+    members: BTreeMap<NodeId, KnownMember>,
+    /// Members that vanished without leaving: dead, or on the other side of a partition.
+    lost: BTreeMap<NodeId, KnownMember>,
+    /// Time from which the member list is considered complete.
     settled_at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sharer {
+struct KnownMember {
     address: SocketAddr,
     leaving: bool,
-    seen: Timestamp,
+    last_seen: Timestamp,
 }
 
 impl Membership {
@@ -44,7 +47,7 @@
         self.own.as_ref().map(|(node, _)| *node)
     }
 
-    /// Takes a member list. True where the sharers of connections changed.
+    /// Applies a member list; returns whether the nodes that accept work changed.
     fn update(
         &mut self,
         parameters: &RoutingParameters,
@@ -55,24 +58,24 @@
             self.settled_at = now + parameters.settling;
         }
         self.own = Some((view.own().endpoint.node, view.own().zone.clone()));
-        let members: BTreeMap<NodeId, Sharer> = view
+        let members: BTreeMap<NodeId, KnownMember> = view
             .members()
             .iter()
             .map(|member| {
-                let sharer = Sharer {
+                let known = KnownMember {
                     address: member.endpoint.address,
                     leaving: member.state == MemberState::Leaving,
-                    seen: now,
+                    last_seen: now,
                 };
-                (member.endpoint.node, sharer)
+                (member.endpoint.node, known)
             })
             .collect();
         let old = std::mem::replace(&mut self.members, members);
-        let gone = old
+        let vanished = old
             .into_iter()
-            .filter(|(node, sharer)| !sharer.leaving && !self.members.contains_key(node));
-        self.lost.extend(gone);
-        self.forget_lost(parameters, now);
+            .filter(|(node, known)| !known.leaving && !self.members.contains_key(node));
+        self.lost.extend(vanished);
+        self.expire_lost(parameters, now);
         let nodes: Vec<SubsetNode> = view
             .accepting_work()
             .map(|member| SubsetNode::new(member.endpoint.node, member.zone.clone()))
@@ -86,111 +89,115 @@
         !same
     }
 
-    /// A lost node is forgotten when it is back, when another run has its address, or in time.
-    fn forget_lost(&mut self, parameters: &RoutingParameters, now: Timestamp) {
+    /// Removes lost nodes that are members again, whose address another node has taken, or whose
+    /// time is over.
+    fn expire_lost(&mut self, parameters: &RoutingParameters, now: Timestamp) {
         let members = &self.members;
         let addresses: std::collections::BTreeSet<SocketAddr> =
-            members.values().map(|sharer| sharer.address).collect();
-        self.lost.retain(|node, sharer| {
+            members.values().map(|known| known.address).collect();
+        self.lost.retain(|node, known| {
             !members.contains_key(node)
-                && !addresses.contains(&sharer.address)
-                && now.since(sharer.seen) < parameters.lost_node_memory
+                && !addresses.contains(&known.address)
+                && now.since(known.last_seen) < parameters.lost_node_memory
         });
     }
 
-    /// Nodes that may hold connections now.
+    /// Number of nodes that may hold connections, for the division of the connections.
     fn expected_nodes(&self, now: Timestamp, maximum_nodes: u32) -> u32 {
-        let seen = self.members.len() as u32;
+        let visible = self.members.len() as u32;
         if now < self.settled_at || self.own.is_none() {
-            return seen.max(maximum_nodes);
+            return visible.max(maximum_nodes);
         }
-        let with_lost = seen + self.lost.len() as u32;
-        with_lost.min(seen.max(maximum_nodes))
+        let with_lost = visible + self.lost.len() as u32;
+        with_lost.min(visible.max(maximum_nodes))
     }
 }
 
-/// Computation of the subset: what for, and how far.
+/// Schedule, progress and input of the computation of the subset.
 #[derive(Debug, Default)]
-pub(super) struct SubsetWork {
+pub(super) struct SubsetState {
+    /// Time of the next step.
     pub(super) due: Option<Timestamp>,
     build: Option<SubsetBuild>,
     topology: Topology,
+    /// Table index of each server of the topology.
     indices: Vec<BackEndIndex>,
 }
 
 impl Router {
-    /// Takes a new configuration. What is known of a back end carries over by its identity; one
-    /// that is removed finishes what it has; one with a new address is connected to anew.
-    pub fn install(&mut self, context: &mut Context<'_>, in_force: &Arc<InForce>) {
-        let first = self.in_force.replace(Arc::clone(in_force)).is_none();
-        for (service, configured) in in_force.bundle.services.iter().enumerate() {
+    /// Installs a configuration. Known back ends keep their state, removed ones are drained, and
+    /// those with a new address are reset.
+    pub fn install(&mut self, context: &mut Context<'_>, active: &Arc<ActiveConfiguration>) {
+        let first = self.active.replace(Arc::clone(active)).is_none();
+        for (service, configured) in active.bundle.services.iter().enumerate() {
             for back_end in &configured.back_ends {
                 let service = ServiceIndex(service as u32);
                 self.install_back_end(context, back_end, service, first);
             }
         }
-        self.remove_unconfigured(context, in_force);
-        self.back_ends.set_services(&in_force.bundle);
-        let (topology, indices) = self.back_ends.topology(&in_force.bundle);
-        let same = topology == self.subset_work.topology && indices == self.subset_work.indices;
-        self.subset_work.topology = topology;
-        self.subset_work.indices = indices;
+        self.remove_unconfigured(context, active);
+        self.back_ends.set_services(&active.bundle);
+        let (topology, indices) = self.back_ends.topology(&active.bundle);
+        let same = topology == self.subset_state.topology && indices == self.subset_state.indices;
+        self.subset_state.topology = topology;
+        self.subset_state.indices = indices;
         if first {
             self.compute_subset_now(context);
         } else if !same {
-            self.follow_topology(context);
+            self.apply_topology(context);
         }
         let due = context.now + self.parameters.housekeeping_interval;
         self.housekeeping_due.get_or_insert(due);
     }
 
-    /// Takes a new member list.
+    /// Applies a member list.
     pub fn members_changed(&mut self, context: &mut Context<'_>, view: &Arc<MemberView>) {
         let first = self.membership.own.is_none();
         let changed = self.membership.update(&self.parameters, context.now, view);
-        if self.in_force.is_none() {
+        if self.active.is_none() {
             return;
         }
         if first {
             self.compute_subset_now(context);
         } else if changed {
             let due = context.now + self.parameters.subset_delay;
-            self.subset_work.build = None;
-            self.subset_work.due.get_or_insert(due);
+            self.subset_state.build = None;
+            self.subset_state.due.get_or_insert(due);
         }
     }
 
-    /// Does a part of the computation of the subset.
+    /// Runs one step of the computation of the subset.
     pub(super) fn advance_subset(&mut self, context: &mut Context<'_>) {
-        let build = self.subset_work.build.take();
+        let build = self.subset_state.build.take();
         let mut build = build.unwrap_or_else(|| self.begin_subset(context.now));
         if build.advance(PAIRS_PER_STEP) {
             self.finish_subset(context, &build);
         } else {
-            self.subset_work.build = Some(build);
-            self.subset_work.due = Some(context.now + STEP_INTERVAL);
+            self.subset_state.build = Some(build);
+            self.subset_state.due = Some(context.now + STEP_INTERVAL);
         }
     }
 
-    /// Back ends changed: those open to every node are used at once. The others are computed
-    /// between queries, unless a shard is out of reach until then.
-    fn follow_topology(&mut self, context: &mut Context<'_>) {
+    /// Applies a changed topology. Back ends that all nodes may connect to are available at once.
+    /// The others follow in steps between queries, or at once if a shard would have no replica
+    /// until then.
+    fn apply_topology(&mut self, context: &mut Context<'_>) {
         let mut build = self.begin_subset(context.now);
-        let shares: Vec<Option<u32>> = build.open_shares().collect();
-        let indices = std::mem::take(&mut self.subset_work.indices);
+        let shares: Vec<Option<u32>> = build.unrestricted_shares().collect();
+        let indices = std::mem::take(&mut self.subset_state.indices);
         for (index, share) in indices.iter().zip(shares) {
             if let Some(share) = share {
                 self.set_share(context, *index, share);
             }
         }
-        self.subset_work.indices = indices;
-        self.count_reach();
+        self.subset_state.indices = indices;
+        self.count_reachable_replicas();
         if self.counters.shards_out_of_reach > 0 {
             while !build.advance(PAIRS_PER_STEP) {}
             self.finish_subset(context, &build);
         } else {
-            self.subset_work.build = Some(build);
-            self.subset_work.due = Some(context.now);
+            self.subset_state.build = Some(build);
+            self.subset_state.due = Some(context.now);
         }
     }
 
@@ -201,32 +208,32 @@
     }
 
     fn begin_subset(&mut self, now: Timestamp) -> SubsetBuild {
-        let maximum = self
-            .in_force
+        let maximum_nodes = self
+            .active
             .as_ref()
-            .map_or(0, |in_force| in_force.bundle.maximum_nodes);
+            .map_or(0, |active| active.bundle.maximum_nodes);
         self.counters.subsets_computed += 1;
         SubsetBuild::new(
             self.parameters.subset.clone(),
-            self.subset_work.topology.clone(),
+            self.subset_state.topology.clone(),
             self.membership.nodes.clone(),
-            self.membership.expected_nodes(now, maximum),
+            self.membership.expected_nodes(now, maximum_nodes),
         )
     }
 
     fn finish_subset(&mut self, context: &mut Context<'_>, build: &SubsetBuild) {
-        let settles = context.now < self.membership.settled_at;
-        self.subset_work.build = None;
-        self.subset_work.due = settles.then_some(self.membership.settled_at);
-        // Without a member list, this node is nobody: it takes what is open to everyone.
+        let settling = context.now < self.membership.settled_at;
+        self.subset_state.build = None;
+        self.subset_state.due = settling.then_some(self.membership.settled_at);
+        // Before the first member list, only back ends that all nodes may connect to are used.
         let node = self.membership.own_node().unwrap_or_default();
         let shares = build.shares(node);
-        let indices = std::mem::take(&mut self.subset_work.indices);
+        let indices = std::mem::take(&mut self.subset_state.indices);
         for (index, share) in indices.iter().zip(shares) {
             self.set_share(context, *index, share);
         }
-        self.subset_work.indices = indices;
-        self.count_reach();
+        self.subset_state.indices = indices;
+        self.count_reachable_replicas();
         if !self.warm_up.is_empty() {
             self.warm_up_due.get_or_insert(context.now);
         }
@@ -236,9 +243,9 @@
         let Some(state) = self.back_ends.get_mut(index) else {
             return;
         };
-        state.share = share;
-        let wants_warmth = share > 0 && state.pool.open() == 0;
-        if wants_warmth {
+        state.connection_share = share;
+        let needs_warm_up = share > 0 && state.pool.open() == 0;
+        if needs_warm_up {
             self.warm_up.push_back(index);
         }
         if share == 0 {
@@ -247,23 +254,23 @@
         self.close_surplus(context, index);
     }
 
-    fn count_reach(&mut self) {
+    fn count_reachable_replicas(&mut self) {
         let table = &self.back_ends;
         let reach = table.groups.iter().map(|group| {
             let reached = group
                 .iter()
                 .filter_map(|index| table.get(*index))
-                .filter(|state| state.share > 0)
+                .filter(|state| state.connection_share > 0)
                 .count();
             (reached, group.len())
         });
-        let (mut short, mut out) = (0, 0);
+        let (mut short_of_replicas, mut out_of_reach) = (0, 0);
         for (reached, replicas) in reach {
-            short += u64::from(reached < replicas.min(2));
-            out += u64::from(reached == 0 && replicas > 0);
+            short_of_replicas += u64::from(reached < replicas.min(2));
+            out_of_reach += u64::from(reached == 0 && replicas > 0);
         }
-        self.counters.shards_short_of_replicas = short;
-        self.counters.shards_out_of_reach = out;
+        self.counters.shards_short_of_replicas = short_of_replicas;
+        self.counters.shards_out_of_reach = out_of_reach;
     }
 
     fn install_back_end(
@@ -287,7 +294,7 @@
             .is_some_and(|state| state.address != back_end.address);
         if moved {
             self.retire_connections(context, index);
-            self.forget_old_address(context, index, back_end);
+            self.reset_for_new_address(context, index, back_end);
         }
         if let Some(state) = self.back_ends.get_mut(index) {
             state.service = service;
@@ -295,12 +302,12 @@
             state.configured = true;
         }
         if moved {
-            self.open_where_needed(context, index);
+            self.open_for_waiting(context, index);
         }
     }
 
-    /// Another address is another server process: nothing learnt holds for it.
-    fn forget_old_address(
+    /// Resets the state of a back end with a new address, which is another server process.
+    fn reset_for_new_address(
         &mut self,
         context: &Context<'_>,
         index: BackEndIndex,
@@ -319,19 +326,19 @@
         }
     }
 
-    fn remove_unconfigured(&mut self, context: &mut Context<'_>, in_force: &InForce) {
+    fn remove_unconfigured(&mut self, context: &mut Context<'_>, active: &ActiveConfiguration) {
         for index in self.back_ends.indices() {
             let Some(state) = self.back_ends.get_mut(index) else {
                 continue;
             };
-            if in_force.back_end(&state.id).is_some() {
+            if active.back_end(&state.id).is_some() {
                 continue;
             }
             state.configured = false;
-            state.share = 0;
+            state.connection_share = 0;
             self.fail_waiting(context, index);
             self.close_surplus(context, index);
-            self.back_ends.forget_if_drained(index);
+            self.back_ends.remove_if_drained(index);
         }
     }
 
@@ -342,7 +349,7 @@
             service,
             slots: back_end.slots as f32,
             configured: true,
-            share: 0,
+            connection_share: 0,
             in_flight: 0,
             pool: Default::default(),
             load: Default::default(),
--- a/crates/thornbridge-core/src/routing/subset.rs
+++ b/crates/thornbridge-core/src/routing/subset.rs
@@ -1,13 +1,14 @@
-//! Which nodes connect to which back ends, and with how many connections.
+//! Deterministic subsetting: which nodes connect to which back ends, and with how many connections.
 //!
-//! Every node computes the same assignment from the same member list, without a message. A back
-//! end whose limit lets every node have a connection is open to all. Any other one is given to
-//! as many nodes as it bears: within each shard's replicas, nodes choose in rounds, so that
-//! every node has one replica before any has two. A choice goes to the highest rendezvous hash
-//! (D. Thaler and C. Ravishankar, 1998) among replicas that are not yet full (bounded loads:
-//! V. Mirrokni et al., 2016), in the node's own zone first and then in other zones.
+//! Every node computes the same assignment from the same member list, without messages. All nodes
+//! connect to a back end whose connection limit allows it. Any other back end is assigned to as
+//! many nodes as its limit allows: nodes choose among the replicas of each shard in rounds, so that
+//! every node has one replica before any has two. A node prefers replicas in its own zone first and
+//! in other zones then, and among these the highest rendezvous hash (D. Thaler and C. Ravishankar,
+//! 1998) with bounded loads (V. Mirrokni et al., 2016).
 //!
-//! Members' views differ for a while after each change, so a part of each limit is kept free.
+//! A share of each limit is kept in reserve, since the nodes' member lists differ for a while after
+//! a change.
 
 use serde::{Deserialize, Serialize};
 use thornbridge_proto::{NodeId, ZoneName};
@@ -15,19 +16,18 @@
 
 const WORD_BITS: usize = 64;
 
-/// Tunable values.
+/// Parameters of subsetting.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SubsetParameters {
-    /// Share of each back end's connections that is not given out: nodes that one view knows and
-    /// another does not yet, and connections closed here and not yet there.
+    /// Share of each back end's connections that is not assigned, for nodes with another member
+    /// list and for connections not closed yet.
     pub reserve: f64,
-    /// Replicas of each shard that a node wants to reach. Two give a choice and a hedge; the
-    /// third keeps both when one is lost.
+    /// Replicas of each shard that a node connects to, if possible.
     pub replicas_wanted: u32,
-    /// Connections a node has to a back end that cannot be open to all nodes.
+    /// Connections of a node to a back end that not all nodes can connect to.
     pub least_pool: u32,
-    /// Most connections a node has to one back end, however few nodes there are.
+    /// Maximum connections of a node to one back end.
     pub greatest_pool: u32,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A node that may connect.
+/// Node that may connect to back ends.
 #[derive(Clone, Debug)]
 pub(crate) struct SubsetNode {
     pub(crate) node: NodeId,
@@ -62,73 +62,75 @@
     }
 }
 
-/// A back end that may be connected to.
+/// Back end to assign.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SubsetServer {
-    /// Hash of its identity.
+    /// Hash of the back end's id.
     pub(crate) hash: u64,
     pub(crate) zone: ZoneName,
-    /// Connections it bears from all nodes together.
-    pub(crate) connections: u32,
+    /// Maximum connections from all nodes together.
+    pub(crate) connection_limit: u32,
 }
 
-/// What is to be connected: back ends, and the replicas of each shard as positions among them.
+/// Back ends, and the replica groups of the shards as indices of back ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Topology {
     pub(crate) servers: Vec<SubsetServer>,
     pub(crate) groups: Vec<Vec<u32>>,
 }
 
-/// How a back end's connections are given out.
+/// Division of a back end's connections among the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Allotment {
-    /// Every node has this many.
-    Everyone { pool: u32 },
-    /// At most so many nodes have the least pool.
-    Some { nodes: u32 },
+enum Allocation {
+    /// Each node has `pool` connections.
+    AllNodes { pool: u32 },
+    /// At most this many nodes have [`SubsetParameters::least_pool`] connections each.
+    LimitedNodes { nodes: u32 },
 }
 
-/// An assignment in the making. [`Self::advance`] does a bounded part of the work.
+/// Assignment in progress. [`Self::advance`] does a bounded part of the work.
 #[derive(Debug)]
 pub(crate) struct SubsetBuild {
     parameters: SubsetParameters,
     topology: Topology,
     nodes: Vec<SubsetNode>,
-    allotments: Vec<Allotment>,
-    /// Per back end: one bit per node.
+    allocations: Vec<Allocation>,
+    /// Bit set of the assigned nodes of each back end.
     assigned: Vec<Vec<u64>>,
-    filled: Vec<u32>,
+    /// Number of nodes assigned to each back end.
+    node_counts: Vec<u32>,
+    /// Index of the current replica group.
     group: usize,
-    shard: Option<ShardWork>,
+    shard: Option<ShardAssignment>,
 }
 
-/// The shard whose replicas are being given out.
+/// Progress on one shard. Pairs are stored node by node.
 #[derive(Debug)]
-struct ShardWork {
-    /// Replicas that cannot be open to everyone.
+struct ShardAssignment {
+    /// Replicas with a limited number of nodes.
     limited: Vec<usize>,
-    /// Zone of each of them, as one bit.
+    /// Zone bit of each limited replica.
     zones: Vec<u64>,
-    /// Whether each of them has all the nodes it may have.
+    /// Whether each limited replica has all nodes that its limit allows.
     full: Vec<bool>,
-    /// Rendezvous hash of each node with each of them, node by node; the top bit is left free.
+    /// Rendezvous hashes of all pairs of node and limited replica; the top bit is zero.
     hashes: Vec<u64>,
-    /// Which of them each node has, node by node.
+    /// Whether the replica is assigned to the node, for all pairs.
     held: Vec<bool>,
-    /// How many of them each node has.
+    /// Number of limited replicas assigned to each node.
     counts: Vec<u32>,
-    /// Zones in which each node has one.
+    /// Zone bits of the replicas assigned to each node.
     held_zones: Vec<u64>,
-    /// Nodes in the order in which they choose, one of its own for each shard, so that no node
-    /// is always last.
+    /// Nodes in the order in which they choose; differs by shard, so that no node is always last.
     order: Vec<u32>,
     round: u32,
+    /// Number of rounds: the limited replicas that each node should have.
     rounds: u32,
 }
 
 impl SubsetBuild {
-    /// Begins an assignment for these live nodes. `expected_nodes`, where larger, also counts
-    /// nodes that are not seen now but may still hold connections.
+    /// Starts an assignment for the live nodes. `expected_nodes`, if larger, includes nodes that
+    /// are not visible but may still hold connections.
     pub(crate) fn new(
         parameters: SubsetParameters,
         topology: Topology,
@@ -136,76 +138,79 @@
         expected_nodes: u32,
     ) -> Self {
         nodes.sort_by_key(|node| node.node);
-        let sharers = expected_nodes.max(nodes.len() as u32).max(1);
-        let allotments: Vec<Allotment> = topology
+        let node_count = expected_nodes.max(nodes.len() as u32).max(1);
+        let allocations: Vec<Allocation> = topology
             .servers
             .iter()
-            .map(|server| allot(&parameters, server.connections, sharers))
+            .map(|server| allocate(&parameters, server.connection_limit, node_count))
             .collect();
         let words = nodes.len().div_ceil(WORD_BITS);
-        let assigned = allotments
+        let assigned = allocations
             .iter()
-            .map(|allotment| match allotment {
-                Allotment::Everyone { .. } => Vec::new(),
-                Allotment::Some { .. } => vec![0; words],
+            .map(|allocation| match allocation {
+                Allocation::AllNodes { .. } => Vec::new(),
+                Allocation::LimitedNodes { .. } => vec![0; words],
             })
             .collect();
         Self {
-            filled: vec![0; topology.servers.len()],
+            node_counts: vec![0; topology.servers.len()],
             parameters,
             topology,
             nodes,
-            allotments,
+            allocations,
             assigned,
             group: 0,
             shard: None,
         }
     }
 
-    /// Does rounds until about `budget` pairs of node and back end were weighed. True when done.
+    /// Runs rounds until about `budget` pairs of node and back end are evaluated; returns whether
+    /// the assignment is complete.
     pub(crate) fn advance(&mut self, budget: usize) -> bool {
-        let mut weighed = 0;
+        let mut evaluated = 0;
         while self.group < self.topology.groups.len() {
-            if weighed >= budget {
+            if evaluated >= budget {
                 return false;
             }
-            weighed += self.next_round();
+            evaluated += self.next_round();
         }
         true
     }
 
-    /// Connections that a node has to each back end; 0 where it has none.
+    /// Connections of a node to each back end; 0 if not assigned.
     pub(crate) fn shares(&self, node: NodeId) -> Vec<u32> {
         let position = self
             .nodes
             .binary_search_by_key(&node, |member| member.node)
             .ok();
-        (0..self.allotments.len())
-            .map(|server| match self.allotments[server] {
-                Allotment::Everyone { pool } => pool,
-                Allotment::Some { .. } => match position {
-                    Some(position) if self.has(server, position) => self.parameters.least_pool,
+        (0..self.allocations.len())
+            .map(|server| match self.allocations[server] {
+                Allocation::AllNodes { pool } => pool,
+                Allocation::LimitedNodes { .. } => match position {
+                    Some(position) if self.is_assigned(server, position) => {
+                        self.parameters.least_pool
+                    }
                     _ => 0,
                 },
             })
             .collect()
     }
 
-    /// Connections to the back ends that are open to every node; absent for the others.
-    pub(crate) fn open_shares(&self) -> impl Iterator<Item = Option<u32>> {
-        self.allotments.iter().map(|allotment| match allotment {
-            Allotment::Everyone { pool } => Some(*pool),
-            Allotment::Some { .. } => None,
+    /// Connections to each back end that all nodes connect to; `None` for the others.
+    pub(crate) fn unrestricted_shares(&self) -> impl Iterator<Item = Option<u32>> {
+        self.allocations.iter().map(|allocation| match allocation {
+            Allocation::AllNodes { pool } => Some(*pool),
+            Allocation::LimitedNodes { .. } => None,
         })
     }
 
-    /// One round of one shard. Gives the number of pairs weighed.
+    /// Runs one round of one shard; returns the number of pairs evaluated.
     fn next_round(&mut self) -> usize {
         let mut shard = self.shard.take().unwrap_or_else(|| self.begin_shard());
-        let weighed = 1 + shard.limited.len() * self.nodes.len();
+        let evaluated = 1 + shard.limited.len() * self.nodes.len();
         if shard.round < shard.rounds && shard.full.contains(&false) {
-            for choice in 0..shard.order.len() {
-                self.choose_for(shard.order[choice] as usize, &mut shard);
+            for turn in 0..shard.order.len() {
+                self.assign_next_replica(shard.order[turn] as usize, &mut shard);
             }
             shard.round += 1;
         }
@@ -214,23 +219,23 @@
         } else {
             self.group += 1;
         }
-        weighed
+        evaluated
     }
 
-    fn begin_shard(&self) -> ShardWork {
+    fn begin_shard(&self) -> ShardAssignment {
         let group = &self.topology.groups[self.group];
         let limited: Vec<usize> = group
             .iter()
             .map(|server| *server as usize)
-            .filter(|server| matches!(self.allotments[*server], Allotment::Some { .. }))
+            .filter(|server| matches!(self.allocations[*server], Allocation::LimitedNodes { .. }))
             .collect();
-        let open_to_all = (group.len() - limited.len()) as u32;
-        let mut shard = ShardWork {
+        let unrestricted = (group.len() - limited.len()) as u32;
+        let mut shard = ShardAssignment {
             zones: limited
                 .iter()
                 .map(|server| zone_bit(&self.topology.servers[*server].zone))
                 .collect(),
-            rounds: self.parameters.replicas_wanted.saturating_sub(open_to_all),
+            rounds: self.parameters.replicas_wanted.saturating_sub(unrestricted),
             full: limited.iter().map(|server| self.is_full(*server)).collect(),
             limited,
             hashes: Vec::new(),
@@ -244,20 +249,20 @@
             shard.rounds = 0;
         }
         if shard.rounds > 0 {
-            self.prepare(&mut shard);
+            self.initialize_pairs(&mut shard);
         }
         shard
     }
 
-    /// Hashes all pairs, and takes over what nodes have of these back ends for other shards.
-    fn prepare(&self, shard: &mut ShardWork) {
+    /// Hashes all pairs, and takes over assignments made for other shards of the same back ends.
+    fn initialize_pairs(&self, shard: &mut ShardAssignment) {
         let pairs = shard.limited.len() * self.nodes.len();
         shard.hashes.reserve_exact(pairs);
         shard.held.reserve_exact(pairs);
         for (position, node) in self.nodes.iter().enumerate() {
             let (mut count, mut zones) = (0, 0);
             for (replica, server) in shard.limited.iter().enumerate() {
-                let held = self.has(*server, position);
+                let held = self.is_assigned(*server, position);
                 let hash = pair_hash(node.hash, self.topology.servers[*server].hash);
                 shard.hashes.push(hash >> 1);
                 shard.held.push(held);
@@ -276,14 +281,14 @@
             .sort_by_cached_key(|position| pair_hash(seed, self.nodes[*position as usize].hash));
     }
 
-    /// Gives the node its next replica, if one is left: first by zone, the node's own one for the
-    /// first replica and a new one for the others; then by hash.
-    fn choose_for(&mut self, position: usize, shard: &mut ShardWork) {
+    /// Assigns the node its next replica, if one is left. The node's own zone is preferred for the
+    /// first replica, a new zone for the others; ties are decided by hash.
+    fn assign_next_replica(&mut self, position: usize, shard: &mut ShardAssignment) {
         if shard.counts[position] > shard.round {
             return;
         }
-        let width = shard.limited.len();
-        let pairs = position * width..(position + 1) * width;
+        let replica_count = shard.limited.len();
+        let pairs = position * replica_count..(position + 1) * replica_count;
         let own_zone = self.nodes[position].zone_bit;
         let held_zones = shard.held_zones[position];
         let is_first = shard.round == 0;
@@ -296,8 +301,8 @@
             let own = is_first & (zone == own_zone);
             let new = !is_first & (zone & held_zones == 0);
             let rank = (u64::from(own | new) << 63) | hash;
-            let possible = !held[replica] & !shard.full[replica];
-            if possible & (best.is_none() | (rank > best_rank)) {
+            let available = !held[replica] & !shard.full[replica];
+            if available & (best.is_none() | (rank > best_rank)) {
                 best = Some(replica);
                 best_rank = rank;
             }
@@ -310,11 +315,11 @@
         shard.counts[position] += 1;
         shard.held_zones[position] |= shard.zones[replica];
         self.assigned[server][position / WORD_BITS] |= 1 << (position % WORD_BITS);
-        self.filled[server] += 1;
+        self.node_counts[server] += 1;
         shard.full[replica] = self.is_full(server);
     }
 
-    fn has(&self, server: usize, position: usize) -> bool {
+    fn is_assigned(&self, server: usize, position: usize) -> bool {
         let words = &self.assigned[server];
         words
             .get(position / WORD_BITS)
@@ -322,35 +327,35 @@
     }
 
     fn is_full(&self, server: usize) -> bool {
-        match self.allotments[server] {
-            Allotment::Everyone { .. } => true,
-            Allotment::Some { nodes } => self.filled[server] >= nodes,
+        match self.allocations[server] {
+            Allocation::AllNodes { .. } => true,
+            Allocation::LimitedNodes { nodes } => self.node_counts[server] >= nodes,
         }
     }
 }
 
-/// One of 64 bits for a zone. Two zones may share one; that only costs some preference.
+/// Bit of a zone. Two zones may share a bit, which only weakens the preference by zone.
 fn zone_bit(zone: &ZoneName) -> u64 {
     1 << (xxh3_64(zone.as_str().as_bytes()) % 64)
 }
 
-/// Hash of a back end's identity for [`SubsetServer`].
-pub(crate) fn server_hash(identity: &str) -> u64 {
+/// Hash of an id, as for [`SubsetServer::hash`].
+pub(crate) fn identity_hash(identity: &str) -> u64 {
     xxh3_64(identity.as_bytes())
 }
 
-/// Hash of a node with a back end.
+/// Rendezvous hash of a node and a back end.
 pub(crate) fn pair_hash(node: u64, server: u64) -> u64 {
     xxh3_64_with_seed(&node.to_le_bytes(), server)
 }
 
-fn allot(parameters: &SubsetParameters, connections: u32, sharers: u32) -> Allotment {
-    let given_out = (f64::from(connections) * (1.0 - parameters.reserve)) as u32;
-    let given_out = given_out.max(1).min(connections);
-    if given_out >= sharers {
-        let pool = (given_out / sharers).min(parameters.greatest_pool);
-        return Allotment::Everyone { pool };
+fn allocate(parameters: &SubsetParameters, connection_limit: u32, node_count: u32) -> Allocation {
+    let available = (f64::from(connection_limit) * (1.0 - parameters.reserve)) as u32;
+    let available = available.max(1).min(connection_limit);
+    if available >= node_count {
+        let pool = (available / node_count).min(parameters.greatest_pool);
+        return Allocation::AllNodes { pool };
     }
-    let nodes = given_out / parameters.least_pool.max(1);
-    Allotment::Some { nodes }
+    let nodes = available / parameters.least_pool.max(1);
+    Allocation::LimitedNodes { nodes }
 }
--- a/crates/thornbridge-core/tests/control/lease_model.rs
+++ b/crates/thornbridge-core/tests/control/lease_model.rs
@@ -1,4 +1,4 @@
-//! Nodes that compete for one lease over the model store, and what must hold of every write.
+//! Model of nodes that compete for one lease in the model store, with the invariants of its writes.
 
 use crate::model_store::ModelStore;
 use std::time::Duration;
@@ -10,33 +10,33 @@
 
 pub const LEASE: &str = "reader";
 
-/// How the store treats one request.
+/// Fault injected into one request to the store.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     None,
     Unreachable,
     RequestLost,
     AnswerLost,
-    /// The caller hears nothing, and the request arrives later.
+    /// The caller gets no answer, and the request takes effect later.
     Delayed,
-    /// The request takes effect, and the answer comes only when the node is asked to take it.
+    /// The request takes effect, and the answer arrives at the node's next step.
     SlowAnswer,
 }
 
-/// One node: its lease, and its own clock.
+/// A node with its lease and its clock.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     pub lease: Lease,
-    /// Own clock less true time: differs between nodes, and changes when a clock jumps.
-    pub clock_ahead: Duration,
-    /// Whether the clock ever ran wrong without the node being told.
-    pub deceived: bool,
-    pub answer: Option<Answer>,
+    /// Difference between the node's clock and the time of the model; grows on clock jumps.
+    pub clock_offset: Duration,
+    /// Whether the clock ever jumped undetected.
+    pub undetected_jump: bool,
+    pub pending_answer: Option<Answer>,
 }
 
 type Answer = Result<thornbridge_proto::platform::PlatformResponse, PlatformFailure>;
 
-/// A write of the lease, and when it took effect.
+/// A write of the lease that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Write {
     pub at: Duration,
@@ -44,28 +44,29 @@
     pub object: LeaseObject,
 }
 
+/// Candidates for one lease, with the store and the time of the model.
 #[derive(Clone, Debug)]
-pub struct LeaseWorld {
+pub struct LeaseModel {
     pub now: Duration,
     pub parameters: LeaseParameters,
     pub store: ModelStore,
     pub candidates: Vec<Candidate>,
     pub delayed: Vec<(usize, PlatformRequest)>,
     pub last_write: Option<Write>,
-    pub deceived: bool,
+    pub undetected_jump: bool,
 }
 
-impl LeaseWorld {
-    pub fn new(parameters: LeaseParameters, clocks_ahead: &[Duration]) -> Self {
-        let candidates = clocks_ahead.iter().enumerate().map(|(index, ahead)| {
+impl LeaseModel {
+    pub fn new(parameters: LeaseParameters, clock_offsets: &[Duration]) -> Self {
+        let candidates = clock_offsets.iter().enumerate().map(|(index, offset)| {
             let node = NodeId(index as u64 + 1);
             let mut lease = Lease::new(parameters.clone(), LEASE.to_owned(), node);
-            lease.set_wanted(Timestamp::from_epoch(*ahead), true);
+            lease.set_wanted(Timestamp::from_epoch(*offset), true);
             Candidate {
                 lease,
-                clock_ahead: *ahead,
-                deceived: false,
-                answer: None,
+                clock_offset: *offset,
+                undetected_jump: false,
+                pending_answer: None,
             }
         });
         Self {
@@ -75,21 +76,21 @@
             store: ModelStore::default(),
             delayed: Vec::new(),
             last_write: None,
-            deceived: false,
+            undetected_jump: false,
         }
     }
 
     pub fn clock(&self, index: usize) -> Timestamp {
-        Timestamp::from_epoch(self.now + self.candidates[index].clock_ahead)
+        Timestamp::from_epoch(self.now + self.candidates[index].clock_offset)
     }
 
-    /// Lets one node take a slow answer, or ask what is due.
+    /// Delivers a slow answer to one node, or sends the node's next request if one is due.
     pub fn step(&mut self, index: usize, fault: Fault) {
         let clock = self.clock(index);
         let counters = &mut LeaseCounters::default();
-        if let Some(answer) = self.candidates[index].answer.take() {
+        if let Some(answer) = self.candidates[index].pending_answer.take() {
             let lease = &mut self.candidates[index].lease;
-            return lease.answered(clock, &answer, 1.0, counters);
+            return lease.handle_reply(clock, &answer, 1.0, counters);
         }
         let lease = &mut self.candidates[index].lease;
         let Some(request) = lease.poll(clock, true, counters) else {
@@ -110,42 +111,41 @@
         };
         let candidate = &mut self.candidates[index];
         if matches!(fault, Fault::SlowAnswer) {
-            candidate.answer = Some(answer);
+            candidate.pending_answer = Some(answer);
         } else {
-            candidate.lease.answered(clock, &answer, 1.0, counters);
+            candidate.lease.handle_reply(clock, &answer, 1.0, counters);
         }
     }
 
-    /// Whether the node's next request, if one is due, is a write.
-    pub fn writes_next(&self, index: usize) -> bool {
+    /// Whether the node's next due request is a write.
+    pub fn next_request_is_write(&self, index: usize) -> bool {
         let mut lease = self.candidates[index].lease.clone();
         let request = lease.poll(self.clock(index), true, &mut LeaseCounters::default());
         matches!(request, Some(PlatformRequest::Put { .. }))
     }
 
-    /// The node has reason to think that the holder is gone.
-    pub fn look(&mut self, index: usize) {
+    pub fn check_now(&mut self, index: usize) {
         let clock = self.clock(index);
-        self.candidates[index].lease.look_now(clock);
+        self.candidates[index].lease.check_now(clock);
     }
 
-    pub fn arrive(&mut self, delayed: usize) {
+    pub fn deliver_delayed(&mut self, delayed: usize) {
         if delayed < self.delayed.len() {
             let (index, request) = self.delayed.remove(delayed);
             let _ = self.apply(index, &request);
         }
     }
 
-    /// The clock jumps ahead; the node is told, or not.
-    pub fn jump(&mut self, index: usize, by: Duration, told: bool) {
-        self.candidates[index].clock_ahead += by;
+    /// Advances a node's clock; the node notices only if `detected` is set.
+    pub fn jump_clock(&mut self, index: usize, by: Duration, detected: bool) {
+        self.candidates[index].clock_offset += by;
         let clock = self.clock(index);
-        if told {
+        if detected {
             let counters = &mut LeaseCounters::default();
             self.candidates[index].lease.clock_jumped(clock, counters);
         } else {
-            self.deceived = true;
-            self.candidates[index].deceived = true;
+            self.undetected_jump = true;
+            self.candidates[index].undetected_jump = true;
         }
     }
 
@@ -163,9 +163,9 @@
         result
     }
 
-    /// Every write that takes effect is a renewal or release by the holder with its own token, or
-    /// a take-over with the next token: after a release, by the same node, or after a whole
-    /// duration without a write.
+    /// A write that takes effect renews or releases the writer's own lease, or acquires a free or
+    /// expired lease with the next token. A lease is free once released, and also for its last
+    /// holder.
     fn check_write(&self, write: &Write) {
         let object = &write.object;
         let Some(last) = &self.last_write else {
@@ -183,26 +183,29 @@
         }
         assert_eq!(object.fencing_token, last.object.fencing_token + 1);
         assert_eq!(object.holder, Some(write.writer));
-        let free = last
+        let is_free = last
             .object
             .holder
             .is_none_or(|holder| holder == write.writer);
-        let expired = write.at >= last.at + self.parameters.duration;
-        assert!(free || expired || self.deceived, "taken over too early");
+        let is_expired = write.at >= last.at + self.parameters.duration;
+        assert!(
+            is_free || is_expired || self.undetected_jump,
+            "lease acquired before its expiry: {write:?}"
+        );
     }
 
-    /// A node whose clock is honest believes that it holds only what the store says it holds, and
-    /// two such nodes never believe so at once.
-    pub fn check(&self) {
-        let mut believers = 0;
+    /// Checks that each node holds only what the store shows, and that at most one node holds the
+    /// lease, unless a clock jumped undetected.
+    pub fn check_invariants(&self) {
+        let mut holders = 0;
         for (index, candidate) in self.candidates.iter().enumerate() {
-            let Some(token) = candidate.lease.held(self.clock(index)) else {
+            let Some(token) = candidate.lease.held_token(self.clock(index)) else {
                 continue;
             };
-            if self.deceived {
+            if self.undetected_jump {
                 continue;
             }
-            believers += 1;
+            holders += 1;
             let stored = self.store.get(ObjectKind::Lease, LEASE).unwrap();
             let stored: LeaseObject = serde_json::from_str(&stored.body).unwrap();
             let holder = NodeId(index as u64 + 1);
@@ -211,6 +214,6 @@
                 (Some(holder), token.0)
             );
         }
-        assert!(believers <= 1);
+        assert!(holders <= 1);
     }
 }
--- a/crates/thornbridge-node/src/gateway/metrics.rs
+++ b/crates/thornbridge-node/src/gateway/metrics.rs
@@ -9,12 +9,12 @@
 use std::fmt;
 use thornbridge_core::gateway::{AttemptSummary, GatewayChange, RequestSummary};
 
-/// Shortest latency that has a bucket, in seconds.
-const SHORTEST_SECONDS: f64 = 0.001;
-/// Ratio of neighbouring buckets.
-const RATIO: f64 = 1.5;
-/// Buckets; the longest ends at about 33 s.
-const BUCKETS: u16 = 26;
+/// Upper bound of the first latency bucket.
+const FIRST_BUCKET_SECONDS: f64 = 0.001;
+/// Ratio between the bounds of adjacent buckets.
+const BUCKET_RATIO: f64 = 1.5;
+/// Number of latency buckets.
+const BUCKET_COUNT: u16 = 26;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RequestLabels {
@@ -43,13 +43,13 @@
     change: String,
 }
 
-/// Gauges that are read when a scrape asks.
+/// Gauge values, published by the driver and read by a scrape.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Standing {
+pub(super) struct GaugeValues {
     pub(super) members: usize,
     pub(super) instances: usize,
-    pub(super) suspects: usize,
-    pub(super) version: u64,
+    pub(super) quarantine_records: usize,
+    pub(super) configuration_version: u64,
     pub(super) store_era: u64,
     pub(super) in_flight: usize,
     pub(super) connections: usize,
@@ -63,15 +63,15 @@
     request_seconds: Family<RouteLabels, Histogram, fn() -> Histogram>,
     attempts: Counter,
     notable_attempts: Family<AttemptLabels, Counter>,
-    denied: Counter,
+    extra_attempts_denied: Counter,
     missing_parts: Counter,
     slices: Family<SliceLabels, Counter>,
     served_slices: Family<SliceLabels, Counter>,
     changes: Family<ChangeLabels, Counter>,
     members: Gauge,
     instances: Gauge,
-    suspects: Gauge,
-    version: Gauge,
+    quarantine_records: Gauge,
+    configuration_version: Gauge,
     store_era: Gauge,
     in_flight: Gauge,
     connections: Gauge,
@@ -85,7 +85,11 @@
 }
 
 fn latency_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(SHORTEST_SECONDS, RATIO, BUCKETS))
+    Histogram::new(exponential_buckets(
+        FIRST_BUCKET_SECONDS,
+        BUCKET_RATIO,
+        BUCKET_COUNT,
+    ))
 }
 
 impl GatewayMetrics {
@@ -96,15 +100,15 @@
             request_seconds: Family::new_with_constructor(latency_histogram),
             attempts: Counter::default(),
             notable_attempts: Family::default(),
-            denied: Counter::default(),
+            extra_attempts_denied: Counter::default(),
             missing_parts: Counter::default(),
             slices: Family::default(),
             served_slices: Family::default(),
             changes: Family::default(),
             members: Gauge::default(),
             instances: Gauge::default(),
-            suspects: Gauge::default(),
-            version: Gauge::default(),
+            quarantine_records: Gauge::default(),
+            configuration_version: Gauge::default(),
             store_era: Gauge::default(),
             in_flight: Gauge::default(),
             connections: Gauge::default(),
@@ -124,7 +128,7 @@
         let notable = "Attempts that were not a first one that was answered";
         registry.register("notable_attempts", notable, self.notable_attempts.clone());
         let denied = "Extra attempts that the budget did not allow";
-        registry.register("extra_denied", denied, self.denied.clone());
+        registry.register("extra_denied", denied, self.extra_attempts_denied.clone());
         let missing = "Parts that answers left out";
         registry.register("missing_parts", missing, self.missing_parts.clone());
         let slices = "Owners asked for slices of gathers, by how they stood when the gather ended";
@@ -136,10 +140,14 @@
         let members = "Members that share the budgets";
         registry.register("members", members, self.members.clone());
         registry.register("instances", "Registered instances", self.instances.clone());
-        let suspects = "Requests that servers crashed under, cleared ones included";
-        registry.register("suspects", suspects, self.suspects.clone());
+        let records = "Requests that servers crashed under, cleared ones included";
+        registry.register("suspects", records, self.quarantine_records.clone());
         let version = "Version of the configuration in force";
-        registry.register("configuration_version", version, self.version.clone());
+        registry.register(
+            "configuration_version",
+            version,
+            self.configuration_version.clone(),
+        );
         let era = "Era of the store that the registry is known as of";
         registry.register("store_era", era, self.store_era.clone());
         let in_flight = "Requests without an answer yet";
@@ -149,11 +157,11 @@
         registry.register("ready", "1 where callers are wanted", self.ready.clone());
     }
 
-    /// A request ended.
-    pub(super) fn finished(&self, summary: &RequestSummary) {
+    /// Records the end of a request.
+    pub(super) fn record_request(&self, summary: &RequestSummary) {
         match summary.coordinator {
-            None => self.request(summary),
-            // Its coordinator counts the request.
+            None => self.count_request(summary),
+            // The coordinator counts the request; this node counts its slice.
             Some(_) => {
                 let outcome = summary.outcome.to_owned();
                 let labels = SliceLabels { outcome };
@@ -161,18 +169,19 @@
             }
         }
         self.attempts.inc_by(summary.attempts_sent as u64);
-        self.denied.inc_by(summary.extra_attempts_denied as u64);
+        self.extra_attempts_denied
+            .inc_by(summary.extra_attempts_denied as u64);
         for slice in &summary.slices {
             let outcome = slice.outcome.as_str().to_owned();
             let labels = SliceLabels { outcome };
             self.slices.get_or_create(&labels).inc();
         }
         for attempt in &summary.notable_attempts {
-            self.attempt(attempt);
+            self.count_attempt(attempt);
         }
     }
 
-    fn request(&self, summary: &RequestSummary) {
+    fn count_request(&self, summary: &RequestSummary) {
         let labels = RequestLabels {
             route: summary.route.clone(),
             outcome: summary.outcome.to_owned(),
@@ -187,7 +196,7 @@
             .inc_by((summary.parts_requested - summary.parts_answered) as u64);
     }
 
-    fn attempt(&self, attempt: &AttemptSummary) {
+    fn count_attempt(&self, attempt: &AttemptSummary) {
         let labels = AttemptLabels {
             cause: attempt.cause.as_str().to_owned(),
             outcome: attempt.outcome.as_str().to_owned(),
@@ -195,8 +204,8 @@
         self.notable_attempts.get_or_create(&labels).inc();
     }
 
-    /// A state changed.
-    pub(super) fn changed(&self, change: &GatewayChange) {
+    /// Counts a state change.
+    pub(super) fn record_change(&self, change: &GatewayChange) {
         let change = match change {
             GatewayChange::ConfigurationActivated { .. } => "configuration_in_force",
             GatewayChange::Evacuation {
@@ -227,18 +236,20 @@
         self.changes.get_or_create(&ChangeLabels { change }).inc();
     }
 
-    /// Everything, as text.
-    pub(super) fn encode(&self, standing: &Standing) -> String {
-        self.members.set(standing.members as i64);
-        self.instances.set(standing.instances as i64);
-        self.suspects.set(standing.suspects as i64);
-        self.version.set(standing.version as i64);
-        self.store_era.set(standing.store_era as i64);
-        self.in_flight.set(standing.in_flight as i64);
-        self.connections.set(standing.connections as i64);
-        self.ready.set(i64::from(standing.ready));
+    /// Encodes all metrics in the Prometheus text format.
+    pub(super) fn encode(&self, gauges: &GaugeValues) -> String {
+        self.members.set(gauges.members as i64);
+        self.instances.set(gauges.instances as i64);
+        self.quarantine_records
+            .set(gauges.quarantine_records as i64);
+        self.configuration_version
+            .set(gauges.configuration_version as i64);
+        self.store_era.set(gauges.store_era as i64);
+        self.in_flight.set(gauges.in_flight as i64);
+        self.connections.set(gauges.connections as i64);
+        self.ready.set(i64::from(gauges.ready));
         let mut encoded = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = text::encode(&mut encoded, &self.registry);
         encoded
     }
